--- a/bench/placement_trace.cpp
+++ b/bench/placement_trace.cpp
@@ -30,7 +30,7 @@
 using namespace cumindale;
 namespace json = boost::json;
 
-constexpr int stepSeconds = 5; // as AssignerOptions::evenEvery
+constexpr int stepSeconds = 5; // as AssignerOptions::rebalanceInterval
 constexpr double workMillis = 4; // of a request
 constexpr double gracefulSeconds = 0.05; // that a key waits in a move; measured, bench/prove.sh leaves
 constexpr double lossSeconds = 1.3; // after a freeze; measured, bench/prove.sh freeze
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -4,9 +4,9 @@
 #include "control/ClusterView.h"
 #include "control/LoadBook.h"
 #include "decisions/Assigner.h"
-#include "decisions/Freshness.h"
 #include "decisions/HotKeys.h"
 #include "decisions/Placement.h"
+#include "decisions/RoutingLease.h"
 #include "decisions/TableCodec.h"
 #include "peers/Wire.h"
 #include "resources/ResourceCodec.h"
@@ -154,16 +154,16 @@
 {
     const auto hosts = static_cast<size_t>(state.range(0));
     const Roster roster = rosterOf(hosts);
-    Freshness freshness("host-1000", {});
-    freshness.holdRoster(roster);
-    freshness.holdTable("tracing", 1);
+    RoutingLease freshness("host-1000", {});
+    freshness.updateRoster(roster);
+    freshness.updateTableVersion("tracing", 1);
     const KnownVersions versions { 1, { { "tracing", 1 } } };
-    freshness.storeAnswered(instantFromMillis(1), versions);
+    freshness.recordStoreAnswer(instantFromMillis(1), versions);
     int64_t now = 1;
     for (auto _ : state) {
         const auto& peer = roster.members[1 + static_cast<size_t>(++now) % (hosts - 1)].name;
-        freshness.peerAnswered(peer, instantFromMillis(now), versions, true);
-        benchmark::DoNotOptimize(freshness.freshUntil("tracing", instantFromMillis(now)));
+        freshness.recordPeerAnswer(peer, instantFromMillis(now), versions, true);
+        benchmark::DoNotOptimize(freshness.validUntil("tracing", instantFromMillis(now)));
     }
 }
 BENCHMARK(freshnessPerAnswer)->Arg(10)->Arg(50)->Arg(250);
--- a/packages/control/AssignerDriver.cpp
+++ b/packages/control/AssignerDriver.cpp
@@ -104,7 +104,7 @@
 {
     Millis longest { 0 };
     for (const auto& [name, table] : m_view.tables())
-        longest = std::max(longest, table->formerWork);
+        longest = std::max(longest, table->inFlightWorkLimit);
     return longest;
 }
 
@@ -123,7 +123,7 @@
         const auto shown = m_listedAt.find(member.name);
         const bool listed = shown != m_listedAt.end() && now - shown->second <= m_settings.timing.hostListLag;
         if (m_listRead && !listed && member.name != self && !m_mesh.heardSince(member.name, now - hostSilence))
-            view.gone.insert(member.name);
+            view.hostsToRemove.insert(member.name);
     }
     const auto next = m_roster->next(*m_view.roster(), view, reports, now);
     if (!next)
@@ -155,7 +155,7 @@
     if (!next)
         co_return;
     const std::string encoded = encodeTable(*next);
-    if (encoded.size() > largestTableBytes) {
+    if (encoded.size() > maxTableBytes) {
         logChange(LogLevel::Error, "table-too-large", { { "service", service.name }, { "bytes", encoded.size() } });
         co_return;
     }
@@ -237,7 +237,7 @@
     }
     // A move for evenness alone must not leave keys waiting for a host that has just died.
     for (const auto& member : m_view.roster()->members)
-        view.calm = view.calm
+        view.allHostsAnswer = view.allHostsAnswer
             && (member.name == m_settings.host.name
                 || m_mesh.heardSince(member.name, now - m_settings.timing.beat * 2));
     if (table.version) {
--- a/packages/control/ClusterView.h
+++ b/packages/control/ClusterView.h
@@ -5,9 +5,9 @@
 #pragma once
 
 #include "control/LeaderSource.h"
-#include "decisions/Freshness.h"
 #include "decisions/Resources.h"
 #include "decisions/Roster.h"
+#include "decisions/RoutingLease.h"
 #include "decisions/SliceTable.h"
 #include "store/Store.h"
 
--- a/packages/control/Control.cpp
+++ b/packages/control/Control.cpp
@@ -104,7 +104,7 @@
     if (change.leader)
         m_election.onLeaderChange();
     if (change.roster) {
-        m_freshness.holdRoster(*m_view.roster());
+        m_freshness.updateRoster(*m_view.roster());
         choosePeers();
         RoutingUpdate update;
         update.roster = m_view.roster();
@@ -116,7 +116,7 @@
         push(std::move(update));
     }
     for (const auto& service : change.tables) {
-        m_freshness.holdTable(service, m_view.table(service)->version);
+        m_freshness.updateTableVersion(service, m_view.table(service)->version);
         RoutingUpdate update;
         update.table = m_view.table(service);
         push(std::move(update));
@@ -144,7 +144,7 @@
     const Instant now = m_clock.now();
     RoutingUpdate update;
     for (const auto& [service, table] : m_view.tables()) {
-        const FreshUntil fresh { service, table->version, m_freshness.freshUntil(service, now) };
+        const FreshUntil fresh { service, table->version, m_freshness.validUntil(service, now) };
         FreshUntil& told = m_toldFresh[service];
         // Every answer moves the lease by a little; waking the routing thread for each would cost more than all
         // the beats.
@@ -210,7 +210,7 @@
     const auto& roster = *m_view.roster();
     std::map<std::string, Member> wanted;
     for (const auto& [name, member] : m_assigner.candidates()) {
-        if (!roster.counts(name))
+        if (!roster.isMember(name))
             wanted[name] = member;
     }
     const Member* assigner = roster.find(m_view.leader().host);
@@ -283,7 +283,7 @@
         const Instant now = m_clock.now();
         bool stale = false;
         for (const auto& [service, table] : m_view.tables())
-            stale = stale || m_freshness.freshUntil(service, now) < now + staleReadEvery / 2;
+            stale = stale || m_freshness.validUntil(service, now) < now + staleReadEvery / 2;
         if (!stale || !m_freshness.mayRoute())
             continue;
         m_metrics.counter("store_reads_stale").add();
@@ -297,7 +297,7 @@
     auto snapshot = std::make_shared<StatusSnapshot>();
     const Instant now = m_clock.now();
     snapshot->host = m_settings.host.name;
-    snapshot->counts = m_freshness.counts();
+    snapshot->counts = m_freshness.countsInMajorities();
     snapshot->isAssigner = m_election.mayAct();
     snapshot->storeAnswers = m_follower.storeAnswers();
     snapshot->storeWentBack = m_follower.storeWentBack();
@@ -307,7 +307,7 @@
     snapshot->roster = m_view.roster();
     snapshot->tables = m_view.tables();
     for (const auto& [service, table] : m_view.tables())
-        snapshot->freshForMillis[service] = (m_freshness.freshUntil(service, now) - now).count();
+        snapshot->freshForMillis[service] = (m_freshness.validUntil(service, now) - now).count();
     snapshot->reports = m_mesh.reports(now);
     m_board.show(std::move(snapshot));
 }
--- a/packages/control/Control.h
+++ b/packages/control/Control.h
@@ -46,7 +46,7 @@
     StatusBoard& m_board;
     UpdateSink m_sink;
     ClusterView m_view;
-    Freshness m_freshness;
+    RoutingLease m_freshness;
     PeerMesh m_mesh;
     PeerServer m_peerServer;
     StoreFollower m_follower;
--- a/packages/control/PeerMesh.cpp
+++ b/packages/control/PeerMesh.cpp
@@ -15,7 +15,7 @@
 }
 
 PeerMesh::PeerMesh(asio::any_io_executor executor, const Clock& clock, const Settings& settings, ClusterView& view,
-    Freshness& freshness, Metrics& metrics, MeshEvents& events)
+    RoutingLease& freshness, Metrics& metrics, MeshEvents& events)
     : m_executor(executor)
     , m_clock(clock)
     , m_settings(settings)
@@ -40,7 +40,7 @@
     const uint64_t incarnation = m_own.report.incarnation;
     next.report = std::move(report);
     next.report.incarnation = incarnation;
-    next.report.counts = m_freshness.counts();
+    next.report.counts = m_freshness.countsInMajorities();
     next.report.rosterVersion = m_freshness.known().roster;
     if (next.sameAs(m_own))
         return;
@@ -54,7 +54,7 @@
     PeerState next = m_own;
     next.known = m_freshness.known();
     next.resourcesKnown = m_view.resources()->revision;
-    next.report.counts = m_freshness.counts();
+    next.report.counts = m_freshness.countsInMajorities();
     next.report.rosterVersion = next.known.roster;
     if (next.sameAs(m_own))
         return;
@@ -124,7 +124,7 @@
             takeState(peer, *answer);
             // Without a state the answer speaks of the one that this host holds; of another one it says nothing.
             if (answer->sequence == peer.sequence) {
-                m_freshness.peerAnswered(name, askedAt, peer.state.known, peer.state.report.counts);
+                m_freshness.recordPeerAnswer(name, askedAt, peer.state.known, peer.state.report.counts);
                 refreshOwnState();
                 m_events.onFreshness();
                 co_await fetchNewer(name, link);
--- a/packages/control/PeerMesh.h
+++ b/packages/control/PeerMesh.h
@@ -5,7 +5,7 @@
 
 #include "base/Metrics.h"
 #include "control/ClusterView.h"
-#include "decisions/Freshness.h"
+#include "decisions/RoutingLease.h"
 #include "peers/PeerLink.h"
 #include "peers/PeerServer.h"
 #include "peers/Wire.h"
@@ -30,8 +30,8 @@
 
 class PeerMesh final : public PeerHandler {
 public:
-    PeerMesh(
-        boost::asio::any_io_executor, const Clock&, const Settings&, ClusterView&, Freshness&, Metrics&, MeshEvents&);
+    PeerMesh(boost::asio::any_io_executor, const Clock&, const Settings&, ClusterView&, RoutingLease&, Metrics&,
+        MeshEvents&);
 
     void setOwnReport(HostReport); // its dispatching thread's snapshot
     void setPeers(const std::map<std::string, Member>&); // whom to ask, without this host
@@ -72,7 +72,7 @@
     const Clock& m_clock;
     const Settings& m_settings;
     ClusterView& m_view;
-    Freshness& m_freshness;
+    RoutingLease& m_freshness;
     Counter& m_bytesSent;
     Counter& m_beats;
     Counter& m_missedBeats;
--- a/packages/control/StatusBoard.h
+++ b/packages/control/StatusBoard.h
@@ -11,7 +11,7 @@
 
 struct StatusSnapshot {
     std::string host;
-    bool counts = false; // see Freshness::counts()
+    bool counts = false; // see RoutingLease::countsInMajorities()
     bool isAssigner = false;
     bool storeAnswers = false;
     bool storeWentBack = false;
--- a/packages/control/StoreFollower.cpp
+++ b/packages/control/StoreFollower.cpp
@@ -20,7 +20,7 @@
 }
 
 StoreFollower::StoreFollower(const Clock& clock, const Settings& settings, Store& store, ClusterView& view,
-    Freshness& freshness, Metrics& metrics, FollowerEvents& events)
+    RoutingLease& freshness, Metrics& metrics, FollowerEvents& events)
     : m_clock(clock)
     , m_settings(settings)
     , m_store(store)
@@ -60,7 +60,7 @@
     const ViewChange change = m_view.applySnapshot(reply);
     if (change.any())
         m_events.onViewChange(change);
-    m_freshness.storeAnswered(askedAt, versionsIn(reply));
+    m_freshness.recordStoreAnswer(askedAt, versionsIn(reply));
     m_events.onStoreRead();
     co_return true;
 }
--- a/packages/control/StoreFollower.h
+++ b/packages/control/StoreFollower.h
@@ -4,7 +4,7 @@
 
 #include "base/Metrics.h"
 #include "control/ClusterView.h"
-#include "decisions/Freshness.h"
+#include "decisions/RoutingLease.h"
 #include "resources/Settings.h"
 #include "store/Store.h"
 
@@ -19,7 +19,7 @@
 
 class StoreFollower {
 public:
-    StoreFollower(const Clock&, const Settings&, Store&, ClusterView&, Freshness&, Metrics&, FollowerEvents&);
+    StoreFollower(const Clock&, const Settings&, Store&, ClusterView&, RoutingLease&, Metrics&, FollowerEvents&);
     boost::asio::awaitable<void> run(); // forever
     boost::asio::awaitable<bool> readAll(); // false: no answer, or one that must not be believed
     bool storeAnswers() const { return m_answers; }
@@ -32,7 +32,7 @@
     const Settings& m_settings;
     Store& m_store;
     ClusterView& m_view;
-    Freshness& m_freshness;
+    RoutingLease& m_freshness;
     FollowerEvents& m_events;
     Counter& m_reads;
     Counter& m_watches;
--- a/packages/decisions/Assigner.cpp
+++ b/packages/decisions/Assigner.cpp
@@ -24,13 +24,14 @@
     observeGates(current, roster, reports, now);
     bool changed = updateWorkLimit(draft, current, view, roster, reports, now);
     changed = splitForPlan(draft, view.placement, m_options.placement) > 0 || changed;
-    const bool even = view.calm && (!m_lastEven || now >= *m_lastEven + m_options.evenEvery);
-    if (even) {
-        m_lastEven = now;
+    const bool rebalance
+        = view.allHostsAnswer && (!m_lastRebalance || now >= *m_lastRebalance + m_options.rebalanceInterval);
+    if (rebalance) {
+        m_lastRebalance = now;
         if (mergeForPlan(draft, view.placement, m_options.placement))
             changed = true;
     }
-    if (applyMoves(draft, view, even))
+    if (applyMoves(draft, view, rebalance))
         changed = true;
     // After the moves, which replace successors that were lost meanwhile.
     if (finishStops(draft, now))
@@ -48,9 +49,10 @@
         if (slice.state != SliceState::Stopping)
             continue;
         const auto found = m_gates.find(slice.begin);
-        const bool same = found != m_gates.end() && found->second.stopVersion() == slice.stoppedIn;
-        auto gate = same ? found->second
-                         : StopGate(current.service, slice.begin, slice.stoppedIn, current.formerWork, m_options.gate);
+        const bool same = found != m_gates.end() && found->second.stopVersion() == slice.stoppedInVersion;
+        auto gate = same
+            ? found->second
+            : StopGate(current.service, slice.begin, slice.stoppedInVersion, current.inFlightWorkLimit, m_options.gate);
         gate.observe(roster, reports, now);
         kept.emplace(slice.begin, std::move(gate));
     }
@@ -63,29 +65,29 @@
 bool ServiceAssigner::updateWorkLimit(SliceTable& draft, const SliceTable& current, const ServiceView& view,
     const Roster& roster, const HostReports& reports, Instant now)
 {
-    const Millis wish = view.service->longestWork;
+    const Millis configured = view.service->longestWork;
     if (!current.version) {
-        draft.workLimit = wish;
-        draft.formerWork = wish;
+        draft.workLimit = configured;
+        draft.inFlightWorkLimit = configured;
         return false; // a first table is committed for its owners
     }
-    if (wish != draft.workLimit) {
-        draft.workLimit = wish;
-        draft.formerWork = std::max(draft.formerWork, wish);
-        draft.loweredIn = draft.formerWork > wish ? draft.version : 0;
-        m_lowering.reset();
+    if (configured != draft.workLimit) {
+        draft.workLimit = configured;
+        draft.inFlightWorkLimit = std::max(draft.inFlightWorkLimit, configured);
+        draft.loweredInVersion = draft.inFlightWorkLimit > configured ? draft.version : 0;
+        m_loweredLimitGate.reset();
         return true;
     }
-    if (!draft.loweredIn)
+    if (!draft.loweredInVersion)
         return false;
-    if (!m_lowering || m_lowering->stopVersion() != draft.loweredIn)
-        m_lowering.emplace(draft.service, 0, draft.loweredIn, draft.formerWork, m_options.gate);
-    m_lowering->observe(roster, reports, now);
-    if (!m_lowering->waitedOut(now))
+    if (!m_loweredLimitGate || m_loweredLimitGate->stopVersion() != draft.loweredInVersion)
+        m_loweredLimitGate.emplace(draft.service, 0, draft.loweredInVersion, draft.inFlightWorkLimit, m_options.gate);
+    m_loweredLimitGate->observe(roster, reports, now);
+    if (!m_loweredLimitGate->waitIsOver(now))
         return false;
-    draft.formerWork = draft.workLimit;
-    draft.loweredIn = 0;
-    m_lowering.reset();
+    draft.inFlightWorkLimit = draft.workLimit;
+    draft.loweredInVersion = 0;
+    m_loweredLimitGate.reset();
     return true;
 }
 
@@ -94,13 +96,13 @@
     bool changed = false;
     for (auto& slice : draft.slices) {
         const auto gate = m_gates.find(slice.begin);
-        const bool sameStop = gate != m_gates.end() && gate->second.stopVersion() == slice.stoppedIn;
-        if (slice.state != SliceState::Stopping || !sameStop || !gate->second.mayOwn(now))
+        const bool sameStop = gate != m_gates.end() && gate->second.stopVersion() == slice.stoppedInVersion;
+        if (slice.state != SliceState::Stopping || !sameStop || !gate->second.mayAssignOwner(now))
             continue;
         slice.owner = slice.successor;
         slice.state = slice.successor == noServer ? SliceState::Unowned : SliceState::Serving;
         slice.successor = noServer;
-        slice.stoppedIn = 0;
+        slice.stoppedInVersion = 0;
         if (slice.owner != noServer)
             slice.fence = draft.nextFence++;
         changed = true;
@@ -108,11 +110,11 @@
     return changed;
 }
 
-bool ServiceAssigner::applyMoves(SliceTable& draft, const ServiceView& view, bool even)
+bool ServiceAssigner::applyMoves(SliceTable& draft, const ServiceView& view, bool rebalance)
 {
     PlacementOptions options = m_options.placement;
     options.tolerance = view.service->tolerance;
-    if (!even)
+    if (!rebalance)
         options.churnBudget = 0;
     bool changed = false;
     for (const Move& move : planMoves(draft, view.placement, options)) {
@@ -129,7 +131,7 @@
             break;
         case SliceState::Serving:
             slice.successor = to;
-            slice.stoppedIn = draft.version;
+            slice.stoppedInVersion = draft.version;
             slice.state = SliceState::Stopping;
             break;
         case SliceState::Stopping:
@@ -150,37 +152,37 @@
 {
 }
 
-bool RosterAssigner::changeIsLearnt(
+bool RosterAssigner::changeIsAcknowledged(
     const Roster& roster, const RosterView& view, const HostReports& reports, Instant now)
 {
     if (m_version != roster.version) {
         m_version = roster.version;
-        m_majorityAt.reset();
+        m_majorityReachedAt.reset();
     }
-    size_t learnt = 0;
+    size_t acknowledged = 0;
     for (const auto& member : roster.members) {
         const auto report = reports.find(member.name);
         if (member.state == MemberState::Member && report != reports.end() && report->second.counts
             && report->second.rosterVersion >= roster.version)
-            ++learnt;
+            ++acknowledged;
     }
-    if (learnt < roster.majority()) {
-        m_majorityAt.reset();
+    if (acknowledged < roster.majority()) {
+        m_majorityReachedAt.reset();
         return false;
     }
-    if (!m_majorityAt)
-        m_majorityAt = now;
+    if (!m_majorityReachedAt)
+        m_majorityReachedAt = now;
     // A departed member may route by an older roster until its lease ran out, and its work may live on.
     const bool departing = std::any_of(roster.members.begin(), roster.members.end(),
         [](const Member& member) { return member.state == MemberState::Departed; });
     const Millis wait = departing ? m_options.lease + m_options.driftMargin + view.longestWork : Millis(0);
-    return now >= *m_majorityAt + wait;
+    return now >= *m_majorityReachedAt + wait;
 }
 
 std::optional<Roster> RosterAssigner::next(
     const Roster& current, const RosterView& view, const HostReports& reports, Instant now)
 {
-    if (current.version && !changeIsLearnt(current, view, reports, now))
+    if (current.version && !changeIsAcknowledged(current, view, reports, now))
         return std::nullopt;
     Roster draft = current;
     ++draft.version;
@@ -207,9 +209,9 @@
         return draft;
     }
     for (auto& member : draft.members) {
-        if (!view.gone.count(member.name))
+        if (!view.hostsToRemove.count(member.name))
             continue;
-        if (draft.countingMembers() == 1)
+        if (draft.activeMemberCount() == 1)
             return std::nullopt; // an empty roster could never agree on anything again
         member.state = MemberState::Departed;
         return draft;
--- a/packages/decisions/Assigner.h
+++ b/packages/decisions/Assigner.h
@@ -18,14 +18,14 @@
 struct AssignerOptions {
     GateOptions gate;
     PlacementOptions placement;
-    Millis evenEvery { 5000 }; // between two looks at evenness; losses and drains are acted on at once
+    Millis rebalanceInterval { 5000 }; // between two looks at evenness; losses and drains are acted on at once
 };
 
 // What it decides from.
 struct ServiceView {
     const ServiceResource* service = nullptr;
     PlacementInput placement;
-    bool calm = true; // every host answers: a move started now won't have to wait one out
+    bool allHostsAnswer = true; // every host answers: a move started now won't have to wait one out
 };
 
 class ServiceAssigner {
@@ -42,19 +42,20 @@
     bool updateWorkLimit(
         SliceTable&, const SliceTable& current, const ServiceView&, const Roster&, const HostReports&, Instant now);
     bool finishStops(SliceTable&, Instant now) const;
-    bool applyMoves(SliceTable&, const ServiceView&, bool even);
+    bool applyMoves(SliceTable&, const ServiceView&, bool rebalance);
 
     AssignerOptions m_options;
     std::map<uint64_t, StopGate> m_gates; // by the slice's begin
-    std::optional<StopGate> m_lowering; // waits until dispatches under a former, higher limit are over
-    std::optional<Instant> m_lastEven;
+    std::optional<StopGate> m_loweredLimitGate; // waits until dispatches under a former, higher limit are over
+    std::optional<Instant> m_lastRebalance;
 };
 
-// Roster changes, one member a commit. Nothing while the former change is still being learnt.
+// Roster changes, one member a commit. Nothing while the former change is still being acknowledged.
 struct RosterView {
     std::vector<Member> live; // from the platform's list, answering beats and ready to route
-    std::set<std::string> gone; // names that the platform no longer shows for longer than its lag, or that left
-    Millis longestWork { 1000 }; // over all services: the highest formerWork of their tables
+    std::set<std::string>
+        hostsToRemove; // names that the platform no longer shows for longer than its lag, or that left
+    Millis longestWork { 1000 }; // over all services: the highest inFlightWorkLimit of their tables
 };
 
 class RosterAssigner {
@@ -63,11 +64,11 @@
     std::optional<Roster> next(const Roster& current, const RosterView&, const HostReports&, Instant now);
 
 private:
-    bool changeIsLearnt(const Roster&, const RosterView&, const HostReports&, Instant now);
+    bool changeIsAcknowledged(const Roster&, const RosterView&, const HostReports&, Instant now);
 
     GateOptions m_options;
     uint64_t m_version = 0; // the version that the two below speak of
-    std::optional<Instant> m_majorityAt;
+    std::optional<Instant> m_majorityReachedAt;
 };
 
 }
--- a/packages/decisions/InFlight.cpp
+++ b/packages/decisions/InFlight.cpp
@@ -4,10 +4,10 @@
 
 namespace cumindale {
 
-DispatchId InFlight::add(std::string_view service, std::string_view server, uint64_t point, Instant until)
+DispatchId InFlight::add(std::string_view service, std::string_view server, uint64_t point, Instant deadline)
 {
     const DispatchId id = m_next++;
-    m_dispatches.emplace(id, Dispatch { std::string(service), std::string(server), point, until, false });
+    m_dispatches.emplace(id, Dispatch { std::string(service), std::string(server), point, deadline, false });
     return id;
 }
 
@@ -19,7 +19,7 @@
     if (found == m_dispatches.end() || found->second.ended)
         return;
     found->second.ended = true;
-    m_ended.emplace(found->second.until, id);
+    m_ended.emplace(found->second.deadline, id);
 }
 
 void InFlight::serverGone(std::string_view server)
@@ -35,7 +35,7 @@
     }
 }
 
-void InFlight::forgetExpired(Instant now)
+void InFlight::removeExpired(Instant now)
 {
     while (!m_ended.empty() && m_ended.begin()->first <= now) {
         m_dispatches.erase(m_ended.begin()->second);
--- a/packages/decisions/InFlight.h
+++ b/packages/decisions/InFlight.h
@@ -23,11 +23,11 @@
 
 class InFlight {
 public:
-    DispatchId add(std::string_view service, std::string_view server, uint64_t point, Instant until);
+    DispatchId add(std::string_view service, std::string_view server, uint64_t point, Instant deadline);
     void answered(DispatchId); // a whole answer came, or surely nothing was sent
     void connectionEnded(DispatchId); // no answer: it stays until its deadline
     void serverGone(std::string_view server); // refuses connections: drops what connectionEnded() was called for
-    void forgetExpired(Instant now); // call it before busy()
+    void removeExpired(Instant now); // call it before busy()
     std::vector<BusySlice> busy(const SliceTable&) const; // stopping slices of its service with something in flight
     size_t size() const { return m_dispatches.size(); }
 
@@ -36,7 +36,7 @@
         std::string service;
         std::string server;
         uint64_t point = 0;
-        Instant until;
+        Instant deadline;
         bool ended = false;
     };
 
--- a/packages/decisions/Roster.cpp
+++ b/packages/decisions/Roster.cpp
@@ -10,13 +10,13 @@
     return found == members.end() ? nullptr : &*found;
 }
 
-bool Roster::counts(std::string_view name) const
+bool Roster::isMember(std::string_view name) const
 {
     const Member* member = find(name);
     return member && member->state == MemberState::Member;
 }
 
-size_t Roster::countingMembers() const
+size_t Roster::activeMemberCount() const
 {
     return static_cast<size_t>(std::count_if(
         members.begin(), members.end(), [](const Member& member) { return member.state == MemberState::Member; }));
--- a/packages/decisions/Roster.h
+++ b/packages/decisions/Roster.h
@@ -35,9 +35,9 @@
     bool operator==(const Roster&) const = default;
 
     const Member* find(std::string_view name) const;
-    bool counts(std::string_view name) const; // is it listed as Member
-    size_t countingMembers() const;
-    size_t majority() const { return countingMembers() / 2 + 1; }
+    bool isMember(std::string_view name) const; // is it listed as Member
+    size_t activeMemberCount() const;
+    size_t majority() const { return activeMemberCount() / 2 + 1; }
 };
 
 }
--- a/packages/decisions/Freshness.cpp
+++ b/packages/decisions/RoutingLease.cpp
@@ -1,4 +1,4 @@
-#include "decisions/Freshness.h"
+#include "decisions/RoutingLease.h"
 
 #include <algorithm>
 #include <functional>
@@ -12,13 +12,13 @@
     return found == tables.end() ? 0 : found->second;
 }
 
-Freshness::Freshness(std::string self, FreshnessOptions options)
+RoutingLease::RoutingLease(std::string self, RoutingLeaseOptions options)
     : m_self(std::move(self))
     , m_options(options)
 {
 }
 
-void Freshness::holdRoster(const Roster& roster)
+void RoutingLease::updateRoster(const Roster& roster)
 {
     if (roster.version <= m_known.roster)
         return;
@@ -26,7 +26,7 @@
     m_roster = roster;
 }
 
-void Freshness::holdTable(std::string_view service, uint64_t version)
+void RoutingLease::updateTableVersion(std::string_view service, uint64_t version)
 {
     auto found = m_known.tables.find(service);
     if (found == m_known.tables.end())
@@ -35,33 +35,34 @@
         found->second = std::max(found->second, version);
 }
 
-void Freshness::peerAnswered(std::string_view peer, Instant askedAt, const KnownVersions& theirs, bool theyCount)
+void RoutingLease::recordPeerAnswer(
+    std::string_view peer, Instant askedAt, const KnownVersions& theirs, bool peerCounts)
 {
     auto& answer = m_answers[std::string(peer)];
     // An answer that comes late or twice must not hide a newer one of the same peer.
     if (answer.counts && askedAt < answer.askedAt)
         return;
-    answer = { askedAt, theirs, theyCount };
-    learnWhetherItCounts();
+    answer = { askedAt, theirs, peerCounts };
+    updateCountsInMajorities();
 }
 
-void Freshness::storeAnswered(Instant askedAt, const KnownVersions& inStore)
+void RoutingLease::recordStoreAnswer(Instant askedAt, const KnownVersions& inStore)
 {
-    if (m_storeAsked && askedAt < m_store.askedAt)
+    if (m_storeHasAnswered && askedAt < m_storeAnswer.askedAt)
         return;
-    m_store = { askedAt, inStore, true };
-    m_storeAsked = true;
+    m_storeAnswer = { askedAt, inStore, true };
+    m_storeHasAnswered = true;
     // It holds at least what the store held after it started: nothing that it ever acknowledged is missing.
     const bool holdsAll = m_known.roster >= inStore.roster
         && std::all_of(inStore.tables.begin(), inStore.tables.end(),
             [this](const auto& table) { return m_known.ofTable(table.first) >= table.second; });
     if (holdsAll)
-        m_counts = true;
+        m_countsInMajorities = true;
 }
 
-void Freshness::learnWhetherItCounts()
+void RoutingLease::updateCountsInMajorities()
 {
-    if (m_counts || !m_roster.version)
+    if (m_countsInMajorities || !m_roster.version)
         return;
     // A majority that does not count this host: what its former incarnation acknowledged, together with a
     // majority, at least one of these others acknowledged too.
@@ -77,17 +78,17 @@
                 [this](const auto& table) { return m_known.ofTable(table.first) >= table.second; }))
             ++others;
     }
-    m_counts = others >= m_roster.majority();
+    m_countsInMajorities = others >= m_roster.majority();
 }
 
-bool Freshness::mayRoute() const { return m_counts && m_roster.counts(m_self); }
+bool RoutingLease::mayRoute() const { return m_countsInMajorities && m_roster.isMember(m_self); }
 
-bool Freshness::knowsNothingNewer(const KnownVersions& theirs, std::string_view service) const
+bool RoutingLease::knowsNothingNewer(const KnownVersions& theirs, std::string_view service) const
 {
     return theirs.roster <= m_known.roster && theirs.ofTable(service) <= m_known.ofTable(service);
 }
 
-Instant Freshness::freshUntil(std::string_view service, Instant now) const
+Instant RoutingLease::validUntil(std::string_view service, Instant now) const
 {
     constexpr Instant never {};
     if (!mayRoute())
@@ -95,10 +96,10 @@
     Instant until = never;
     // Equal, not only "nothing newer": a store that went back in time holds less than this host, and can't
     // vouch for what it has forgotten.
-    const bool storeHoldsTheSame
-        = m_store.versions.roster == m_known.roster && m_store.versions.ofTable(service) == m_known.ofTable(service);
-    if (m_storeAsked && storeHoldsTheSame)
-        until = m_store.askedAt + m_options.lease;
+    const bool storeHoldsSameVersions = m_storeAnswer.versions.roster == m_known.roster
+        && m_storeAnswer.versions.ofTable(service) == m_known.ofTable(service);
+    if (m_storeHasAnswered && storeHoldsSameVersions)
+        until = m_storeAnswer.askedAt + m_options.lease;
 
     std::vector<Instant> asked { now }; // this host's own word
     for (const auto& member : m_roster.members) {
--- a/packages/decisions/Freshness.h
+++ b/packages/decisions/RoutingLease.h
@@ -12,7 +12,7 @@
 //
 // Guard against restarts: a host that lost its memory could answer "I know nothing newer" although its former
 // incarnation acknowledged a stop. Until it has read the store, or heard a majority that does not count
-// itself, it neither routes nor counts in anyone's majority (counts() is false).
+// itself, it neither routes nor counts in anyone's majority (countsInMajorities() is false).
 #pragma once
 
 #include "base/Time.h"
@@ -33,28 +33,28 @@
     uint64_t ofTable(std::string_view service) const;
 };
 
-struct FreshnessOptions {
+struct RoutingLeaseOptions {
     Millis lease { 600 }; // how long an answer counts, from when it was asked for
 };
 
-class Freshness {
+class RoutingLease {
 public:
-    Freshness(std::string self, FreshnessOptions);
+    RoutingLease(std::string self, RoutingLeaseOptions);
 
     // --- What this host holds
-    void holdRoster(const Roster&); // lower versions are ignored
-    void holdTable(std::string_view service, uint64_t version); // lower versions are ignored
+    void updateRoster(const Roster&); // lower versions are ignored
+    void updateTableVersion(std::string_view service, uint64_t version); // lower versions are ignored
     const KnownVersions& known() const { return m_known; }
     const Roster& roster() const { return m_roster; }
 
     // --- What others said
-    void peerAnswered(std::string_view peer, Instant askedAt, const KnownVersions& theirs, bool theyCount);
-    void storeAnswered(Instant askedAt, const KnownVersions& inStore);
+    void recordPeerAnswer(std::string_view peer, Instant askedAt, const KnownVersions& theirs, bool peerCounts);
+    void recordStoreAnswer(Instant askedAt, const KnownVersions& inStore);
 
     // --- Decisions
-    bool counts() const { return m_counts; } // whether others may count this host's answers
+    bool countsInMajorities() const { return m_countsInMajorities; } // whether others may count this host's answers
     bool mayRoute() const; // counts, and is a member of the roster
-    Instant freshUntil(std::string_view service, Instant now) const; // for the held versions; may lie in the past
+    Instant validUntil(std::string_view service, Instant now) const; // for the held versions; may lie in the past
 
 private:
     struct Answer {
@@ -64,16 +64,16 @@
     };
 
     bool knowsNothingNewer(const KnownVersions&, std::string_view service) const;
-    void learnWhetherItCounts();
+    void updateCountsInMajorities();
 
     std::string m_self;
-    FreshnessOptions m_options;
+    RoutingLeaseOptions m_options;
     Roster m_roster;
     KnownVersions m_known;
     std::map<std::string, Answer, std::less<>> m_answers; // newest of each peer
-    Answer m_store;
-    bool m_storeAsked = false;
-    bool m_counts = false;
+    Answer m_storeAnswer;
+    bool m_storeHasAnswered = false;
+    bool m_countsInMajorities = false;
 };
 
 }
--- a/packages/decisions/ServerHealth.cpp
+++ b/packages/decisions/ServerHealth.cpp
@@ -56,7 +56,7 @@
         ++blind;
         blindCentres.insert(member->dataCentre);
     }
-    const bool enoughHosts = blind * 2 > opinions && blind >= std::min<size_t>(2, roster.countingMembers());
+    const bool enoughHosts = blind * 2 > opinions && blind >= std::min<size_t>(2, roster.activeMemberCount());
     const bool enoughCentres = blindCentres.size() >= std::min<size_t>(2, centres.size());
     return blind && enoughHosts && enoughCentres;
 }
--- a/packages/decisions/SliceTable.cpp
+++ b/packages/decisions/SliceTable.cpp
@@ -42,13 +42,13 @@
     return index + 1;
 }
 
-std::string_view faultOf(const SliceTable& table)
+std::string_view validationError(const SliceTable& table)
 {
     if (table.slices.empty())
         return "no slices";
-    const bool lowering = table.formerWork > table.workLimit;
-    if (table.workLimit.count() < 0 || table.formerWork < table.workLimit || lowering != (table.loweredIn != 0)
-        || table.loweredIn > table.version)
+    const bool lowering = table.inFlightWorkLimit > table.workLimit;
+    if (table.workLimit.count() < 0 || table.inFlightWorkLimit < table.workLimit
+        || lowering != (table.loweredInVersion != 0) || table.loweredInVersion > table.version)
         return "limits of work do not fit";
     if (table.slices.front().begin)
         return "the first slice does not begin at 0";
@@ -63,7 +63,8 @@
             return "an owner does not fit its state";
         if (slice.successor != noServer && slice.successor >= table.servers.size())
             return "a successor does not exist";
-        if ((slice.state == SliceState::Stopping) != (slice.stoppedIn != 0) || slice.stoppedIn > table.version)
+        if ((slice.state == SliceState::Stopping) != (slice.stoppedInVersion != 0)
+            || slice.stoppedInVersion > table.version)
             return "a stop version does not fit its state";
     }
     return {};
--- a/packages/decisions/SliceTable.h
+++ b/packages/decisions/SliceTable.h
@@ -31,7 +31,7 @@
 struct Slice {
     uint64_t begin = 0; // first point; the slice ends where the next one begins
     uint64_t fence = 0; // grows with every new owner; a server refuses lower ones
-    uint64_t stoppedIn = 0; // version that set Stopping; 0 unless Stopping
+    uint64_t stoppedInVersion = 0; // version that set Stopping; 0 unless Stopping
     ServerIndex owner = noServer; // into SliceTable::servers
     ServerIndex successor = noServer; // while Stopping: who is to own it next, noServer if undecided
     SliceState state = SliceState::Unowned;
@@ -44,10 +44,10 @@
     uint64_t version = 0; // 0: nothing committed yet
     uint64_t nextFence = 1; // fence for the next new owner in this service
     // Hosts give a dispatch by this version at most `workLimit`. When operators lower it, dispatches by older versions
-    // may still take longer: every wait counts `formerWork` until those have died out.
+    // may still take longer: every wait counts `inFlightWorkLimit` until those have died out.
     Millis workLimit { 1000 };
-    Millis formerWork { 1000 }; // at least workLimit
-    uint64_t loweredIn = 0; // version that lowered workLimit; 0 if formerWork is the same
+    Millis inFlightWorkLimit { 1000 }; // at least workLimit
+    uint64_t loweredInVersion = 0; // version that lowered workLimit; 0 if inFlightWorkLimit is the same
     std::vector<std::string> servers; // names; slices refer to them by index
     std::vector<Slice> slices; // sorted by begin; the first begins at 0
 
@@ -64,7 +64,7 @@
 };
 
 // What is wrong with a table, or empty. Decoded tables are checked before they are used.
-std::string_view faultOf(const SliceTable&);
+std::string_view validationError(const SliceTable&);
 
 // Finds slices by point in constant expected time: the top bits of the point choose a short run of slices.
 // Built once per adopted table; valid while the table lives.
--- a/packages/decisions/StopGate.cpp
+++ b/packages/decisions/StopGate.cpp
@@ -44,15 +44,15 @@
             ++members;
     }
     m_allIdle = allIdle;
-    if (!m_majorityAt && members >= roster.majority())
-        m_majorityAt = now;
+    if (!m_majorityReachedAt && members >= roster.majority())
+        m_majorityReachedAt = now;
 }
 
-bool StopGate::mayOwn(Instant now) const { return m_allIdle || waitedOut(now); }
+bool StopGate::mayAssignOwner(Instant now) const { return m_allIdle || waitIsOver(now); }
 
-bool StopGate::waitedOut(Instant now) const
+bool StopGate::waitIsOver(Instant now) const
 {
-    return m_majorityAt && now >= *m_majorityAt + m_options.lease + m_options.driftMargin + m_longestWork;
+    return m_majorityReachedAt && now >= *m_majorityReachedAt + m_options.lease + m_options.driftMargin + m_longestWork;
 }
 
 }
--- a/packages/decisions/StopGate.h
+++ b/packages/decisions/StopGate.h
@@ -26,7 +26,7 @@
 namespace cumindale {
 
 struct GateOptions {
-    Millis lease { 600 }; // the routing lease, as in FreshnessOptions
+    Millis lease { 600 }; // the routing lease, as in RoutingLeaseOptions
     Millis driftMargin { 100 }; // clocks of two hosts may run apart by this much in one wait
 };
 
@@ -42,7 +42,7 @@
 struct HostReport {
     uint64_t incarnation = 0; // new at every start of the process
     Millis age { 0 }; // since that start
-    bool counts = false; // see Freshness::counts()
+    bool counts = false; // see RoutingLease::countsInMajorities()
     std::map<std::string, uint64_t, std::less<>> adoptedTables; // version by which it dispatches, by service
     uint64_t rosterVersion = 0;
     int64_t resourcesRevision = 0; // of the configuration in force at its dispatching thread
@@ -60,8 +60,8 @@
 
     // Looks at the newest reports; call it whenever they change. `now` is the assigner's clock.
     void observe(const Roster&, const HostReports&, Instant now);
-    bool mayOwn(Instant now) const; // after observe()
-    bool waitedOut(Instant now) const; // (b) alone: whatever was dispatched before is over
+    bool mayAssignOwner(Instant now) const; // after observe()
+    bool waitIsOver(Instant now) const; // (b) alone: whatever was dispatched before is over
     uint64_t stopVersion() const { return m_stopVersion; }
 
 private:
@@ -74,7 +74,7 @@
     Millis m_longestWork;
     GateOptions m_options;
     std::set<std::string, std::less<>> m_acknowledged; // hosts whose acknowledgement was seen, ever
-    std::optional<Instant> m_majorityAt; // when a majority was first seen
+    std::optional<Instant> m_majorityReachedAt; // when a majority was first seen
     bool m_allIdle = false;
 };
 
--- a/packages/decisions/TableCodec.cpp
+++ b/packages/decisions/TableCodec.cpp
@@ -7,11 +7,11 @@
     constexpr uint8_t magic = 0xC5;
     constexpr uint64_t format = 2;
     constexpr size_t checksumBytes = 8;
-    constexpr size_t mostServers = 100'000;
-    constexpr size_t mostSlices = 1'000'000;
-    constexpr size_t longestWorkMillis = 86'400'000; // a day
-    constexpr size_t longestName = 1'024;
-    constexpr unsigned statesPerSlice = 3;
+    constexpr size_t maxServers = 100'000;
+    constexpr size_t maxSlices = 1'000'000;
+    constexpr size_t maxWorkMillis = 86'400'000; // a day
+    constexpr size_t maxNameBytes = 1'024;
+    constexpr unsigned sliceStateCount = 3;
 
     uint64_t checksum(std::span<const char> bytes)
     {
@@ -71,17 +71,17 @@
             return 0;
         }
 
-        size_t count(size_t most)
+        size_t count(size_t max)
         {
             const uint64_t value = number();
-            if (value > most)
+            if (value > max)
                 m_ok = false;
             return m_ok ? static_cast<size_t>(value) : 0;
         }
 
         std::string text()
         {
-            const size_t size = count(longestName);
+            const size_t size = count(maxNameBytes);
             if (size > m_bytes.size() - m_position)
                 m_ok = false;
             if (!m_ok)
@@ -101,12 +101,12 @@
     {
         writeNumber(out, slice.begin - previousBegin);
         const uint64_t owner = slice.owner == noServer ? 0 : slice.owner + 1;
-        writeNumber(out, owner * statesPerSlice + static_cast<uint64_t>(slice.state));
+        writeNumber(out, owner * sliceStateCount + static_cast<uint64_t>(slice.state));
         writeNumber(out, table.nextFence - slice.fence);
         if (slice.state != SliceState::Stopping)
             return;
         writeNumber(out, slice.successor == noServer ? 0 : slice.successor + 1);
-        writeNumber(out, table.version - slice.stoppedIn);
+        writeNumber(out, table.version - slice.stoppedInVersion);
     }
 
     Slice readSlice(Reader& reader, const SliceTable& table, uint64_t previousBegin)
@@ -114,15 +114,15 @@
         Slice slice;
         slice.begin = previousBegin + reader.number();
         const uint64_t ownerAndState = reader.number();
-        slice.state = static_cast<SliceState>(ownerAndState % statesPerSlice);
-        const uint64_t owner = ownerAndState / statesPerSlice;
+        slice.state = static_cast<SliceState>(ownerAndState % sliceStateCount);
+        const uint64_t owner = ownerAndState / sliceStateCount;
         slice.owner = owner ? static_cast<ServerIndex>(owner - 1) : noServer;
         slice.fence = table.nextFence - reader.number();
         if (slice.state != SliceState::Stopping)
             return slice;
         const uint64_t successor = reader.number();
         slice.successor = successor ? static_cast<ServerIndex>(successor - 1) : noServer;
-        slice.stoppedIn = table.version - reader.number();
+        slice.stoppedInVersion = table.version - reader.number();
         return slice;
     }
 
@@ -138,8 +138,8 @@
     writeNumber(out, table.version);
     writeNumber(out, table.nextFence);
     writeNumber(out, static_cast<uint64_t>(table.workLimit.count()));
-    writeNumber(out, static_cast<uint64_t>((table.formerWork - table.workLimit).count()));
-    writeNumber(out, table.loweredIn);
+    writeNumber(out, static_cast<uint64_t>((table.inFlightWorkLimit - table.workLimit).count()));
+    writeNumber(out, table.loweredInVersion);
     writeNumber(out, table.servers.size());
     for (const auto& server : table.servers)
         writeText(out, server);
@@ -175,19 +175,19 @@
     table.service = reader.text();
     table.version = reader.number();
     table.nextFence = reader.number();
-    table.workLimit = Millis(static_cast<int64_t>(reader.count(longestWorkMillis)));
-    table.formerWork = table.workLimit + Millis(static_cast<int64_t>(reader.count(longestWorkMillis)));
-    table.loweredIn = reader.number();
-    const size_t servers = reader.count(mostServers);
+    table.workLimit = Millis(static_cast<int64_t>(reader.count(maxWorkMillis)));
+    table.inFlightWorkLimit = table.workLimit + Millis(static_cast<int64_t>(reader.count(maxWorkMillis)));
+    table.loweredInVersion = reader.number();
+    const size_t servers = reader.count(maxServers);
     for (size_t i = 0; i < servers && reader.ok(); ++i)
         table.servers.push_back(reader.text());
-    const size_t slices = reader.count(mostSlices);
+    const size_t slices = reader.count(maxSlices);
     uint64_t previousBegin = 0;
     for (size_t i = 0; i < slices && reader.ok(); ++i) {
         table.slices.push_back(readSlice(reader, table, previousBegin));
         previousBegin = table.slices.back().begin;
     }
-    if (!reader.ok() || !reader.atEnd() || !faultOf(table).empty())
+    if (!reader.ok() || !reader.atEnd() || !validationError(table).empty())
         return std::nullopt;
     return table;
 }
--- a/packages/decisions/TableCodec.h
+++ b/packages/decisions/TableCodec.h
@@ -14,7 +14,7 @@
 
 namespace cumindale {
 
-constexpr size_t largestTableBytes = 1'000'000; // the store's limit for one value
+constexpr size_t maxTableBytes = 1'000'000; // the store's limit for one value
 
 std::string encodeTable(const SliceTable&);
 std::optional<SliceTable> decodeTable(std::span<const char> bytes); // nothing if damaged or faulty
--- a/packages/operators/StatusJson.cpp
+++ b/packages/operators/StatusJson.cpp
@@ -153,7 +153,7 @@
     answer["owner"] = table->second->serverName(slice.owner);
     answer["successor"] = table->second->serverName(slice.successor);
     if (slice.state == SliceState::Stopping)
-        answer["why"] = "moving: stopped in version " + std::to_string(slice.stoppedIn)
+        answer["why"] = "moving: stopped in version " + std::to_string(slice.stoppedInVersion)
             + "; the successor owns it once no work of the owner can be in flight";
     else if (slice.state == SliceState::Unowned)
         answer["why"] = "no server is legal for it now";
--- a/packages/peers/Wire.h
+++ b/packages/peers/Wire.h
@@ -1,7 +1,7 @@
 // From the generated wire types to ours and back.
 #pragma once
 
-#include "decisions/Freshness.h"
+#include "decisions/RoutingLease.h"
 #include "decisions/StopGate.h"
 #include <peers_types.h>
 
--- a/packages/routing/Router.cpp
+++ b/packages/routing/Router.cpp
@@ -75,7 +75,7 @@
     if (update.relays)
         m_relays = std::move(*update.relays);
     if (update.roster)
-        m_hosts = std::max<size_t>(1, update.roster->countingMembers());
+        m_hosts = std::max<size_t>(1, update.roster->activeMemberCount());
     if (update.resources)
         applyResources(std::move(update.resources));
     else if (update.roster && m_configured)
@@ -503,7 +503,7 @@
 
 void Router::reportNow()
 {
-    m_inFlight.forgetExpired(m_clock.now());
+    m_inFlight.removeExpired(m_clock.now());
     m_report(makeReport());
 }
 
@@ -515,7 +515,7 @@
         const Millis pause = stopping ? busyReportEvery : quietReportEvery;
         co_await sleepFor(pause);
         const Instant now = m_clock.now();
-        m_inFlight.forgetExpired(now);
+        m_inFlight.removeExpired(now);
         RoutingReport report = makeReport();
         if (now - m_lastLoadReport >= loadReportEvery) {
             for (auto& [name, route] : m_routes) {
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -171,7 +171,7 @@
     const Settings settings;
     FakeStore store;
     ClusterView view;
-    Freshness freshness("host", {});
+    RoutingLease freshness("host", {});
     Metrics metrics;
     NoEvents events;
     StoreFollower follower(clock, settings, store, view, freshness, metrics, events);
--- a/tests/in_flight_test.cpp
+++ b/tests/in_flight_test.cpp
@@ -19,7 +19,7 @@
     slice.fence = 1;
     slice.owner = 0;
     slice.state = SliceState::Stopping;
-    slice.stoppedIn = 2;
+    slice.stoppedInVersion = 2;
     table.slices.push_back(slice);
     return table;
 }
@@ -33,9 +33,9 @@
     InFlight inFlight;
     const DispatchId id = inFlight.add("tracing", "server-1", 42, now + Millis(1000));
     inFlight.connectionEnded(id);
-    inFlight.forgetExpired(now + Millis(999));
+    inFlight.removeExpired(now + Millis(999));
     CHECK(inFlight.busy(stoppingTable()).size() == 1);
-    inFlight.forgetExpired(now + Millis(1000));
+    inFlight.removeExpired(now + Millis(1000));
     CHECK(inFlight.busy(stoppingTable()).empty());
 }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -153,7 +153,7 @@
         mergeForPlan(table, input, {});
         for (const auto& key : input.hotKeys)
             CHECK(table.slices[table.indexOf(key.point)].begin == key.point);
-        CHECK(faultOf(table).empty());
+        CHECK(validationError(table).empty());
         CHECK(input.sliceLoad.size() == table.slices.size());
         most = std::max(most, table.slices.size());
     }
--- a/tests/protocol_model.cpp
+++ b/tests/protocol_model.cpp
@@ -8,7 +8,7 @@
 
 // --- Set-up
 
-World::World(uint64_t seed, Faults faults, Guards guards)
+Simulation::Simulation(uint64_t seed, Faults faults, Guards guards)
     : m_faults(faults)
     , m_guards(guards)
     , m_random(seed)
@@ -30,13 +30,13 @@
         restart(host);
 }
 
-Outcome World::run()
+Outcome Simulation::run()
 {
     for (; m_now < m_faults.milliseconds; m_now += stepMillis) {
-        if (faulty())
+        if (faultsActive())
             injectFaults();
         else
-            heal();
+            endFaults();
         deliver();
         for (int i = 0; i < static_cast<int>(m_hosts.size()); ++i) {
             if (m_hosts[i].pausedUntil <= m_now)
@@ -54,48 +54,48 @@
 
 // --- Faults
 
-void World::injectFaults()
+void Simulation::injectFaults()
 {
     const double second = stepMillis / 1000.0;
     for (auto& host : m_hosts) {
         if (chance(m_faults.pausePerSecond * second))
-            host.pausedUntil = std::max(host.pausedUntil, m_now + pick(100, 3'000));
+            host.pausedUntil = std::max(host.pausedUntil, m_now + randomBetween(100, 3'000));
         if (chance(m_faults.restartPerSecond * second))
             restart(host);
     }
     for (auto& server : m_servers) {
         if (chance(m_faults.freezePerSecond * second))
-            server.frozenUntil = m_now + pick(100, 3'000);
+            server.frozenUntil = m_now + randomBetween(100, 3'000);
         if (chance(m_faults.leavePerSecond * second))
             server.leaving = !server.leaving;
     }
-    if (m_cut && m_now >= m_cutUntil)
-        m_cut = false;
-    if (!m_cut && chance(m_faults.cutPerSecond * second)) {
-        m_cut = true;
-        m_cutUntil = m_now + pick(200, 4'000);
+    if (m_partitioned && m_now >= m_partitionedUntil)
+        m_partitioned = false;
+    if (!m_partitioned && chance(m_faults.partitionPerSecond * second)) {
+        m_partitioned = true;
+        m_partitionedUntil = m_now + randomBetween(200, 4'000);
         for (auto& side : m_side)
-            side = static_cast<int>(pick(0, 1));
+            side = static_cast<int>(randomBetween(0, 1));
     }
-    if (m_cut && chance(m_faults.replaceInCutPerSecond * second)) {
-        const auto index = static_cast<size_t>(pick(0, m_faults.hosts - 1));
+    if (m_partitioned && chance(m_faults.replaceInPartitionPerSecond * second)) {
+        const auto index = static_cast<size_t>(randomBetween(0, m_faults.hosts - 1));
         restart(m_hosts[index]);
         m_side[index] = 1 - m_side[index];
     }
-    if (chance(m_faults.limitPerSecond * second))
-        m_workWish = m_workWish == workMillis ? workMillis / 5 : workMillis;
+    if (chance(m_faults.limitChangePerSecond * second))
+        m_configuredWorkLimit = m_configuredWorkLimit == workMillis ? workMillis / 5 : workMillis;
     if (chance(m_faults.storeDownPerSecond * second))
-        m_storeDownUntil = m_now + pick(200, 4'000);
+        m_storeDownUntil = m_now + randomBetween(200, 4'000);
 }
 
-void World::heal()
+void Simulation::endFaults()
 {
-    m_cut = false;
+    m_partitioned = false;
     for (auto& server : m_servers)
         server.leaving = false;
 }
 
-void World::restart(Host& host)
+void Simulation::restart(Host& host)
 {
     const std::string name = host.name;
     const uint64_t incarnation = host.incarnation + 1;
@@ -103,28 +103,28 @@
     host.name = name;
     host.incarnation = incarnation;
     host.startedAt = m_now;
-    host.nextBeat = m_now + pick(0, beatMillis);
-    host.freshness = std::make_unique<Freshness>(name, FreshnessOptions {});
+    host.nextBeat = m_now + randomBetween(0, beatMillis);
+    host.lease = std::make_unique<RoutingLease>(name, RoutingLeaseOptions {});
     host.roster = std::make_shared<Roster>();
     host.known = std::make_shared<SliceTable>();
-    if (!m_guards.restartedDoNotCount)
-        host.freshness->storeAnswered(instantFromMillis(m_now) - Millis(60'000), {});
+    if (!m_guards.restartedHostsDoNotCount)
+        host.lease->recordStoreAnswer(instantFromMillis(m_now) - Millis(60'000), {});
 }
 
 // --- Messages
 
-void World::send(int from, int to, Words words)
+void Simulation::send(int from, int to, Payload payload)
 {
-    if (!connected(from, to) || (faulty() && chance(m_faults.loss)))
+    if (!connected(from, to) || (faultsActive() && chance(m_faults.lossProbability)))
         return;
-    const int copies = faulty() && chance(m_faults.repeat) ? 2 : 1;
+    const int copies = faultsActive() && chance(m_faults.duplicateProbability) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
-        const bool late = faulty() && chance(m_faults.late);
-        m_messages.push({ m_now + pick(0, late ? 3'000 : 60), ++m_order, to, words });
+        const bool late = faultsActive() && chance(m_faults.delayProbability);
+        m_messages.push({ m_now + randomBetween(0, late ? 3'000 : 60), ++m_nextMessage, to, payload });
     }
 }
 
-void World::deliver()
+void Simulation::deliver()
 {
     std::vector<Message> kept;
     while (!m_messages.empty() && m_messages.top().at <= m_now) {
@@ -136,39 +136,39 @@
             kept.push_back(std::move(message));
             continue;
         }
-        receive(host, message.words);
-        if (!message.words.isAnswer) {
-            Words answer = wordsOf(message.to);
+        receive(host, message.payload);
+        if (!message.payload.isAnswer) {
+            Payload answer = payloadOf(message.to);
             answer.isAnswer = true;
-            answer.askedAt = message.words.askedAt;
-            send(message.to, message.words.from, std::move(answer));
+            answer.askedAt = message.payload.askedAt;
+            send(message.to, message.payload.from, std::move(answer));
         }
     }
     for (auto& message : kept)
         m_messages.push(std::move(message));
 }
 
-World::Words World::wordsOf(int index) const
+Simulation::Payload Simulation::payloadOf(int index) const
 {
     const Host& host = m_hosts[index];
-    Words words;
-    words.from = index;
-    words.askedAt = now();
-    words.known = host.freshness->known();
-    words.counts = host.freshness->counts();
-    words.report = reportOf(host);
-    words.roster = host.roster;
-    words.table = host.known;
-    return words;
+    Payload payload;
+    payload.from = index;
+    payload.askedAt = now();
+    payload.known = host.lease->known();
+    payload.counts = host.lease->countsInMajorities();
+    payload.report = reportOf(host);
+    payload.roster = host.roster;
+    payload.table = host.known;
+    return payload;
 }
 
-HostReport World::reportOf(const Host& host) const
+HostReport Simulation::reportOf(const Host& host) const
 {
     HostReport report;
     report.incarnation = host.incarnation;
-    report.age = Millis(m_guards.incarnationRule ? m_now - host.startedAt : 3'600'000);
-    report.counts = host.freshness->counts();
-    report.rosterVersion = host.freshness->known().roster;
+    report.age = Millis(m_guards.distrustYoungIncarnations ? m_now - host.startedAt : 3'600'000);
+    report.counts = host.lease->countsInMajorities();
+    report.rosterVersion = host.lease->known().roster;
     if (host.adopted) {
         report.adoptedTables["s"] = host.adopted->version;
         report.busy = host.inFlight.busy(*host.adopted);
@@ -176,61 +176,61 @@
     return report;
 }
 
-void World::receive(Host& host, const Words& words)
+void Simulation::receive(Host& host, const Payload& payload)
 {
-    const std::string& peer = m_hosts[words.from].name;
+    const std::string& peer = m_hosts[payload.from].name;
     // A peer's later incarnation or later state is not replaced by an earlier one that comes late.
     auto& held = host.reports[peer];
-    const bool newer = words.report.incarnation > held.incarnation
-        || (words.report.incarnation == held.incarnation && words.report.age >= held.age);
+    const bool newer = payload.report.incarnation > held.incarnation
+        || (payload.report.incarnation == held.incarnation && payload.report.age >= held.age);
     if (newer)
-        held = words.report;
+        held = payload.report;
     host.heardAt[peer] = m_now;
-    learn(host, words.roster, words.table);
+    learn(host, payload.roster, payload.table);
     // An answer to a question of a former incarnation is not one to this: its askedAt lies before the start.
-    if (words.isAnswer && words.askedAt >= instantFromMillis(host.startedAt))
-        host.freshness->peerAnswered(peer, words.askedAt, words.known, words.counts);
-    publishFreshness(host);
+    if (payload.isAnswer && payload.askedAt >= instantFromMillis(host.startedAt))
+        host.lease->recordPeerAnswer(peer, payload.askedAt, payload.known, payload.counts);
+    updateLease(host);
 }
 
-void World::learn(Host& host, std::shared_ptr<const Roster> roster, std::shared_ptr<const SliceTable> table)
+void Simulation::learn(Host& host, std::shared_ptr<const Roster> roster, std::shared_ptr<const SliceTable> table)
 {
     if (roster && roster->version > host.roster->version) {
         host.roster = roster;
-        host.freshness->holdRoster(*roster);
+        host.lease->updateRoster(*roster);
     }
     if (table && table->version > host.known->version) {
         host.known = table;
-        host.freshness->holdTable("s", table->version);
-        host.adoptAt = m_now + pick(0, 60); // the dispatching thread hears of it later
+        host.lease->updateTableVersion("s", table->version);
+        host.adoptAt = m_now + randomBetween(0, 60); // the dispatching thread hears of it later
     }
 }
 
-void World::publishFreshness(Host& host)
+void Simulation::updateLease(Host& host)
 {
-    host.freshVersion = host.known->version;
-    host.freshUntil = host.freshness->freshUntil("s", now());
+    host.leaseVersion = host.known->version;
+    host.leaseUntil = host.lease->validUntil("s", now());
 }
 
 // --- Hosts
 
-bool World::storeAnswers(const Host& host) const
+bool Simulation::storeAnswers(const Host& host) const
 {
     const size_t index = static_cast<size_t>(&host - m_hosts.data());
-    return m_now >= m_storeDownUntil && (!m_cut || m_side[index] == 0);
+    return m_now >= m_storeDownUntil && (!m_partitioned || m_side[index] == 0);
 }
 
-void World::stepHost(int index)
+void Simulation::stepHost(int index)
 {
     Host& host = m_hosts[index];
     if (m_now >= host.nextBeat) {
         host.nextBeat = m_now + beatMillis;
         for (int peer = 0; peer < static_cast<int>(m_hosts.size()); ++peer) {
             if (peer != index)
-                send(index, peer, wordsOf(index));
+                send(index, peer, payloadOf(index));
         }
     }
-    const bool stale = host.freshUntil < now() + Millis(200);
+    const bool stale = host.leaseUntil < now() + Millis(200);
     if (m_now >= host.nextRead && (stale || chance(0.1))) {
         host.nextRead = m_now + 300;
         readStore(host);
@@ -244,14 +244,14 @@
         host.inFlight.connectionEnded(it->id);
         it = host.open.erase(it);
     }
-    host.inFlight.forgetExpired(now());
+    host.inFlight.removeExpired(now());
     dispatch(index); // before adopting: a host that wakes acts on what it last knew
     adopt(host);
-    stand(host);
+    campaign(host);
     assign(host);
 }
 
-void World::readStore(Host& host)
+void Simulation::readStore(Host& host)
 {
     if (!storeAnswers(host))
         return;
@@ -260,25 +260,25 @@
     versions.roster = m_storeRoster->version;
     if (m_storeTable->version)
         versions.tables["s"] = m_storeTable->version;
-    host.freshness->storeAnswered(now(), versions);
-    publishFreshness(host);
+    host.lease->recordStoreAnswer(now(), versions);
+    updateLease(host);
 }
 
-void World::adopt(Host& host)
+void Simulation::adopt(Host& host)
 {
     if (!host.known->version || m_now < host.adoptAt || (host.adopted && host.adopted->version == host.known->version))
         return;
     if (host.adopted && host.adopted->version > host.known->version)
-        ++m_outcome.wentBack;
+        ++m_outcome.tableRegressions;
     host.adopted = host.known;
 }
 
-void World::dispatch(int index)
+void Simulation::dispatch(int index)
 {
     Host& host = m_hosts[index];
     if (!host.adopted)
         return;
-    const bool fresh = host.freshVersion == host.adopted->version && now() < host.freshUntil;
+    const bool fresh = host.leaseVersion == host.adopted->version && now() < host.leaseUntil;
     if (!fresh && m_guards.routingLease)
         return;
     for (const uint64_t point : m_points) {
@@ -293,11 +293,11 @@
         const int64_t deadline = m_now + host.adopted->workLimit.count();
         const DispatchId id = host.inFlight.add("s", name, point, instantFromMillis(deadline));
         host.open.push_back({ static_cast<int>(server - m_servers.begin()), id, deadline });
-        server->work.push_back({ index, host.incarnation, id, point, m_now + pick(0, 50), deadline });
+        server->work.push_back({ index, host.incarnation, id, point, m_now + randomBetween(0, 50), deadline });
         ++m_outcome.dispatched;
         m_lastDispatch[point] = m_now;
         // Sometimes the connection ends at once, while the request is on its way.
-        if (faulty() && chance(0.05)) {
+        if (faultsActive() && chance(0.05)) {
             host.open.pop_back();
             if (m_guards.inFlightUntilDeadline)
                 host.inFlight.connectionEnded(id);
@@ -309,37 +309,37 @@
 
 // --- The assigner
 
-void World::stand(Host& host)
+void Simulation::campaign(Host& host)
 {
     const int index = static_cast<int>(&host - m_hosts.data());
-    if (m_now >= m_storeDownUntil && m_leader >= 0 && m_now >= m_leaderUntil) {
+    if (m_now >= m_storeDownUntil && m_leader >= 0 && m_now >= m_leaderLeaseUntil) {
         m_leader = -1; // the lease lapsed
         ++m_leaderRevision;
     }
     if (!storeAnswers(host))
         return;
     if (m_leader == index && host.term == m_leaderRevision) {
-        m_leaderUntil = m_now + leaderLeaseMillis;
-        host.believesUntil = m_leaderUntil;
-    } else if (m_leader < 0 && chance(0.2) && host.freshness->counts()) {
+        m_leaderLeaseUntil = m_now + leaderLeaseMillis;
+        host.leaderLeaseUntil = m_leaderLeaseUntil;
+    } else if (m_leader < 0 && chance(0.2) && host.lease->countsInMajorities()) {
         m_leader = index;
-        m_leaderUntil = m_now + leaderLeaseMillis;
+        m_leaderLeaseUntil = m_now + leaderLeaseMillis;
         host.term = ++m_leaderRevision;
-        host.believesUntil = m_leaderUntil;
+        host.leaderLeaseUntil = m_leaderLeaseUntil;
         AssignerOptions options;
         options.gate = m_guards.waitBeforeOwning ? GateOptions {} : GateOptions { Millis(0), Millis(-workMillis) };
         options.placement.slicesPerServer = 1;
-        options.evenEvery = Millis(500);
+        options.rebalanceInterval = Millis(500);
         host.assigner = std::make_unique<ServiceAssigner>(options);
         host.rosterAssigner = std::make_unique<RosterAssigner>(options.gate);
     }
 }
 
-void World::assign(Host& host)
+void Simulation::assign(Host& host)
 {
-    // A paused leader that wakes still believes in its office for one step; the store's compare stops it.
-    const bool believes = host.term && (m_now < host.believesUntil || chance(0.5));
-    if (!believes || !host.roster->version)
+    // A paused leader that wakes still actsAsLeader in its isLeader for one step; the store's compare stops it.
+    const bool actsAsLeader = host.term && (m_now < host.leaderLeaseUntil || chance(0.5));
+    if (!actsAsLeader || !host.roster->version)
         return;
     HostReports reports = host.reports;
     for (auto& [name, report] : reports)
@@ -353,7 +353,7 @@
     }
     ServiceResource service;
     service.name = "s";
-    service.longestWork = Millis(m_workWish);
+    service.longestWork = Millis(m_configuredWorkLimit);
     ServiceView view;
     view.service = &service;
     for (const auto& server : m_servers) {
@@ -362,14 +362,14 @@
     }
     // Hot keys come and go and loads differ, so that slices are cut, joined and moved for evenness as well.
     for (size_t i = 0; i < host.known->slices.size(); ++i)
-        view.placement.sliceLoad.push_back(static_cast<double>(pick(0, 100)));
+        view.placement.sliceLoad.push_back(static_cast<double>(randomBetween(0, 100)));
     for (const uint64_t point : m_points) {
         if (chance(0.5))
             view.placement.hotKeys.push_back({ point, 10 });
     }
     const auto writable = [&](uint64_t version, uint64_t storeVersion) {
-        const bool office = m_leaderRevision == host.term;
-        return storeAnswers(host) && office && version == storeVersion + 1;
+        const bool isLeader = m_leaderRevision == host.term;
+        return storeAnswers(host) && isLeader && version == storeVersion + 1;
     };
     RosterView rosterView;
     rosterView.longestWork = Millis(workMillis);
@@ -379,33 +379,33 @@
         if (heard && report != reports.end() && report->second.counts)
             rosterView.live.push_back({ other.name, "dc-1", "127.0.0.1", 1, 2, 3 });
         if (!heard && m_now - host.heardAt[other.name] > 1'500)
-            rosterView.gone.insert(other.name);
+            rosterView.hostsToRemove.insert(other.name);
     }
     const auto roster = host.rosterAssigner->next(*host.roster, rosterView, reports, now());
     if (roster && writable(roster->version, m_storeRoster->version)) {
         m_storeRoster = std::make_shared<const Roster>(*roster);
-        if (!faulty() || !chance(m_faults.answerLost))
+        if (!faultsActive() || !chance(m_faults.lostAnswerProbability))
             learn(host, m_storeRoster, nullptr);
     }
     SliceTable current = *host.known;
     auto table = host.assigner->next(current, view, counted, reports, now());
-    if (table && !m_guards.waitForFormerLimit) {
-        table->formerWork = table->workLimit;
-        table->loweredIn = 0;
+    if (table && !m_guards.waitForLoweredLimit) {
+        table->inFlightWorkLimit = table->workLimit;
+        table->loweredInVersion = 0;
     }
     if (table && writable(table->version, m_storeTable->version)) {
         m_storeTable = std::make_shared<const SliceTable>(*table);
-        if (!faulty() || !chance(m_faults.answerLost))
+        if (!faultsActive() || !chance(m_faults.lostAnswerProbability))
             learn(host, nullptr, m_storeTable);
     } else if (table) {
         readStore(host);
     }
-    publishFreshness(host);
+    updateLease(host);
 }
 
 // --- Servers
 
-void World::stepServers()
+void Simulation::stepServers()
 {
     for (size_t s = 0; s < m_servers.size(); ++s) {
         Server& server = m_servers[s];
@@ -421,16 +421,16 @@
                     continue;
                 }
                 work.begin = m_now;
-                work.end = std::min(work.deadline, m_now + pick(10, workMillis));
-                judge(s, work);
+                work.end = std::min(work.deadline, m_now + randomBetween(10, workMillis));
+                countOverlaps(s, work);
             }
             if (work.end >= 0 && m_now >= work.end) {
                 Host& host = m_hosts[work.host];
-                const bool reaches
-                    = host.incarnation == work.incarnation && connected(work.host, 0) && !(faulty() && chance(0.1));
+                const bool reaches = host.incarnation == work.incarnation && connected(work.host, 0)
+                    && !(faultsActive() && chance(0.1));
                 if (reaches && host.pausedUntil <= m_now) {
                     host.inFlight.answered(work.id);
-                    std::erase_if(host.open, [&](const Dispatched& d) { return d.id == work.id; });
+                    std::erase_if(host.open, [&](const OpenDispatch& d) { return d.id == work.id; });
                 }
                 it = server.work.erase(it);
                 continue;
@@ -440,7 +440,7 @@
     }
 }
 
-void World::judge(size_t server, const Work& started)
+void Simulation::countOverlaps(size_t server, const Work& started)
 {
     for (size_t s = 0; s < m_servers.size(); ++s) {
         if (s == server)
--- a/tests/protocol_model.h
+++ b/tests/protocol_model.h
@@ -1,11 +1,11 @@
 // A small world round the pure protocol: hosts, servers and the store as plain values, messages that are lost,
 // late or repeated, and faults at random from a seed. The decisions are the product's own classes; the world
-// only carries their words. One history is one seed.
+// only carries their payload. One history is one seed.
 #pragma once
 
 #include "decisions/Assigner.h"
-#include "decisions/Freshness.h"
 #include "decisions/InFlight.h"
+#include "decisions/RoutingLease.h"
 
 #include <map>
 #include <memory>
@@ -24,43 +24,43 @@
     bool waitBeforeOwning = true; // lease and longest work before the second commit
     bool majorityAcknowledges = true;
     bool routingLease = true;
-    bool incarnationRule = true; // a young incarnation does not vouch for its former one
-    bool restartedDoNotCount = true;
+    bool distrustYoungIncarnations = true; // a young incarnation does not vouch for its former one
+    bool restartedHostsDoNotCount = true;
     bool inFlightUntilDeadline = true; // an ended connection stays in flight
     bool absoluteDeadlines = true; // a frozen server does not start a request's time anew
-    bool waitForFormerLimit = true; // after operators lowered the limit of work
+    bool waitForLoweredLimit = true; // after operators lowered the limit of work
 };
 
 struct Faults {
     int hosts = 3;
     int servers = 2;
-    double loss = 0.05; // of a message
-    double repeat = 0.03;
-    double late = 0.05; // by up to 3 s
+    double lossProbability = 0.05; // of a message
+    double duplicateProbability = 0.03;
+    double delayProbability = 0.05; // by up to 3 s
     double pausePerSecond = 0.15; // of each host
     double restartPerSecond = 0.10;
     double freezePerSecond = 0.25; // of each server
-    double cutPerSecond = 0.15; // of the network, in two halves
-    double replaceInCutPerSecond = 0; // of the system: a host restarts on the other side of the cut
+    double partitionPerSecond = 0.15; // of the network, in two halves
+    double replaceInPartitionPerSecond = 0; // of the system: a host restarts on the other side of the cut
     double storeDownPerSecond = 0.10;
-    double answerLost = 0.10; // of a store write that took effect
+    double lostAnswerProbability = 0.10; // of a store write that took effect
     double leavePerSecond = 0.30; // a server's wish flips
-    double limitPerSecond = 0.30; // operators change the limit of work
+    double limitChangePerSecond = 0.30; // operators change the limit of work
     int64_t milliseconds = 9'000;
     int64_t faultsEndAt = 9'000; // from then on nothing fails: progress is expected
 };
 
 struct Outcome {
     size_t twoOwners = 0; // starts of work while another server was at work for the key
-    size_t wentBack = 0; // tables adopted below one adopted before by the same incarnation
+    size_t tableRegressions = 0; // tables adopted below one adopted before by the same incarnation
     size_t dispatched = 0;
     size_t ownersGiven = 0;
     bool servedAtEnd = false; // every key was dispatched within the last two seconds
 };
 
-class World {
+class Simulation {
 public:
-    World(uint64_t seed, Faults, Guards);
+    Simulation(uint64_t seed, Faults, Guards);
     Outcome run();
 
 private:
@@ -69,7 +69,7 @@
     static constexpr int64_t workMillis = 1'000; // longest work, when operators don't lower it
     static constexpr int64_t leaderLeaseMillis = 2'000;
 
-    struct Words { // what a host says of itself in a message
+    struct Payload { // what a host says of itself in a message
         int from = 0;
         Instant askedAt; // of the question, echoed by the answer
         bool isAnswer = false;
@@ -84,11 +84,11 @@
         int64_t at = 0;
         uint64_t order = 0;
         int to = 0;
-        Words words;
+        Payload payload;
         bool operator>(const Message& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
     };
 
-    struct Dispatched {
+    struct OpenDispatch {
         int server = 0;
         DispatchId id = 0;
         int64_t deadline = 0;
@@ -96,15 +96,15 @@
 
     struct Host {
         std::string name;
-        std::unique_ptr<Freshness> freshness;
+        std::unique_ptr<RoutingLease> lease;
         std::shared_ptr<const Roster> roster;
         std::shared_ptr<const SliceTable> known; // heard of
         std::shared_ptr<const SliceTable> adopted; // by the dispatching thread
         int64_t adoptAt = 0;
-        uint64_t freshVersion = 0;
-        Instant freshUntil {};
+        uint64_t leaseVersion = 0;
+        Instant leaseUntil {};
         InFlight inFlight;
-        std::vector<Dispatched> open;
+        std::vector<OpenDispatch> open;
         uint64_t incarnation = 0;
         int64_t startedAt = 0;
         int64_t pausedUntil = 0;
@@ -114,7 +114,7 @@
         std::map<std::string, int64_t, std::less<>> heardAt;
         // The assigner's part.
         int64_t term = 0; // leader revision that it won; 0: not leader
-        int64_t believesUntil = 0;
+        int64_t leaderLeaseUntil = 0;
         std::unique_ptr<ServiceAssigner> assigner;
         std::unique_ptr<RosterAssigner> rosterAssigner;
     };
@@ -138,42 +138,45 @@
     };
 
     bool chance(double probability) { return std::uniform_real_distribution<double>(0, 1)(m_random) < probability; }
-    int64_t pick(int64_t least, int64_t most) { return std::uniform_int_distribution<int64_t>(least, most)(m_random); }
-    bool faulty() const { return m_now < m_faults.faultsEndAt; }
+    int64_t randomBetween(int64_t least, int64_t most)
+    {
+        return std::uniform_int_distribution<int64_t>(least, most)(m_random);
+    }
+    bool faultsActive() const { return m_now < m_faults.faultsEndAt; }
     Instant now() const { return instantFromMillis(m_now); }
-    bool connected(int a, int b) const { return !m_cut || m_side[a] == m_side[b]; }
+    bool connected(int a, int b) const { return !m_partitioned || m_side[a] == m_side[b]; }
     bool storeAnswers(const Host&) const;
 
     void injectFaults();
-    void heal();
+    void endFaults();
     void restart(Host&);
     void deliver();
-    void receive(Host&, const Words&);
+    void receive(Host&, const Payload&);
     void learn(Host&, std::shared_ptr<const Roster>, std::shared_ptr<const SliceTable>);
-    void publishFreshness(Host&);
-    void send(int from, int to, Words);
-    Words wordsOf(int index) const;
+    void updateLease(Host&);
+    void send(int from, int to, Payload);
+    Payload payloadOf(int index) const;
     HostReport reportOf(const Host&) const;
     void stepHost(int index);
     void readStore(Host&);
     void adopt(Host&);
     void dispatch(int index);
-    void stand(Host&);
+    void campaign(Host&);
     void assign(Host&);
     void stepServers();
-    void judge(size_t server, const Work&);
+    void countOverlaps(size_t server, const Work&);
 
     Faults m_faults;
     Guards m_guards;
     std::mt19937_64 m_random;
     int64_t m_now = 0;
-    uint64_t m_order = 0;
+    uint64_t m_nextMessage = 0;
     std::vector<Host> m_hosts;
     std::vector<Server> m_servers;
     std::vector<int> m_side;
-    bool m_cut = false;
-    int64_t m_cutUntil = 0;
-    int64_t m_workWish = workMillis;
+    bool m_partitioned = false;
+    int64_t m_partitionedUntil = 0;
+    int64_t m_configuredWorkLimit = workMillis;
     std::priority_queue<Message, std::vector<Message>, std::greater<>> m_messages;
     std::vector<uint64_t> m_points;
     std::map<uint64_t, int64_t> m_lastDispatch;
@@ -185,7 +188,7 @@
     std::shared_ptr<const SliceTable> m_storeTable = std::make_shared<SliceTable>();
     int64_t m_leaderRevision = 0;
     int m_leader = -1;
-    int64_t m_leaderUntil = 0;
+    int64_t m_leaderLeaseUntil = 0;
 };
 
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -15,14 +15,14 @@
 struct Total {
     std::atomic<size_t> histories { 0 };
     std::atomic<size_t> bad { 0 }; // with two owners at work
-    std::atomic<size_t> wentBack { 0 };
+    std::atomic<size_t> tableRegressions { 0 };
     std::atomic<size_t> dispatched { 0 };
     std::atomic<size_t> ownersGiven { 0 };
     std::atomic<size_t> unserved { 0 };
-    std::atomic<uint64_t> firstBadSeed { 0 };
+    std::atomic<uint64_t> lastBadSeed { 0 };
 };
 
-Faults mix(uint64_t seed)
+Faults faultsForSeed(uint64_t seed)
 {
     Faults faults;
     faults.hosts = 3 + static_cast<int>(seed % 3);
@@ -32,47 +32,47 @@
         break;
     case 1: // restarts inside partitions without the store
         faults.restartPerSecond = 0.4;
-        faults.cutPerSecond = 0.4;
+        faults.partitionPerSecond = 0.4;
         faults.storeDownPerSecond = 0.4;
         break;
     case 3: // hosts are replaced again and again, while the servers stand still
         faults.hosts = 5;
         faults.restartPerSecond = 0.05;
-        faults.replaceInCutPerSecond = 0.8;
-        faults.cutPerSecond = 1.0;
+        faults.replaceInPartitionPerSecond = 0.8;
+        faults.partitionPerSecond = 1.0;
         faults.storeDownPerSecond = 0.1;
         faults.pausePerSecond = 0;
         faults.freezePerSecond = 0.1;
         faults.leavePerSecond = 0.6;
         break;
     case 2: // messages go astray
-        faults.loss = 0.3;
-        faults.late = 0.3;
+        faults.lossProbability = 0.3;
+        faults.delayProbability = 0.3;
         faults.pausePerSecond = 0.4;
         break;
     }
     return faults;
 }
 
-void explore(size_t histories, const Guards& guards, Total& total, bool healed = false)
+void explore(size_t histories, const Guards& guards, Total& total, bool endFaultsEarly = false)
 {
     std::atomic<uint64_t> next { 1 };
     std::vector<std::thread> threads;
     for (unsigned t = 0; t < std::max(1u, std::thread::hardware_concurrency()); ++t) {
         threads.emplace_back([&] {
             for (uint64_t seed = next++; seed <= histories; seed = next++) {
-                Faults faults = mix(seed);
-                if (healed)
+                Faults faults = faultsForSeed(seed);
+                if (endFaultsEarly)
                     faults.faultsEndAt = faults.milliseconds - 8'000;
-                const Outcome outcome = World(seed, faults, guards).run();
+                const Outcome outcome = Simulation(seed, faults, guards).run();
                 ++total.histories;
-                total.wentBack += outcome.wentBack;
+                total.tableRegressions += outcome.tableRegressions;
                 total.dispatched += outcome.dispatched;
                 total.ownersGiven += outcome.ownersGiven;
                 total.unserved += !outcome.servedAtEnd;
                 if (outcome.twoOwners) {
                     ++total.bad;
-                    total.firstBadSeed = seed;
+                    total.lastBadSeed = seed;
                 }
             }
         });
@@ -91,14 +91,14 @@
 {
     MESSAGE(name, ": ", total.histories.load(), " histories, ", total.bad.load(), " with two owners at work, ",
         total.dispatched.load(), " dispatches, ", total.ownersGiven.load(), " owners given, ", total.unserved.load(),
-        " unserved at the end, a bad seed: ", total.firstBadSeed.load());
+        " unserved at the end, a bad seed: ", total.lastBadSeed.load());
 }
 
 // Histories needed until a version without the guard is caught.
-void expectCaught(std::string_view name, const Guards& guards, size_t most)
+void expectCaught(std::string_view name, const Guards& guards, size_t maxHistories)
 {
     Total total;
-    explore(most, guards, total);
+    explore(maxHistories, guards, total);
     report(name, total);
     CHECK(total.bad > 0);
 }
@@ -111,7 +111,7 @@
     explore(histories(), {}, total);
     report("all guards", total);
     CHECK(total.bad == 0);
-    CHECK(total.wentBack == 0);
+    CHECK(total.tableRegressions == 0);
     CHECK(total.ownersGiven > total.histories * 4); // the histories do move slices
 }
 
@@ -147,13 +147,13 @@
     SUBCASE("the incarnation rule")
     {
         Guards guards;
-        guards.incarnationRule = false;
+        guards.distrustYoungIncarnations = false;
         expectCaught("without the incarnation rule", guards, 4'000);
     }
     SUBCASE("restarted hosts do not count")
     {
         Guards guards;
-        guards.restartedDoNotCount = false;
+        guards.restartedHostsDoNotCount = false;
         expectCaught("restarted hosts count", guards, 20'000);
     }
     SUBCASE("in flight until the deadline")
@@ -165,7 +165,7 @@
     SUBCASE("the wait for a limit of work that was lowered")
     {
         Guards guards;
-        guards.waitForFormerLimit = false;
+        guards.waitForLoweredLimit = false;
         expectCaught("a lowered limit counts at once", guards, 20'000);
     }
     SUBCASE("absolute deadlines")
--- a/tests/routing_fixture.cpp
+++ b/tests/routing_fixture.cpp
@@ -97,13 +97,13 @@
     table->version = version;
     table->nextFence = version + 1;
     table->workLimit = Millis(300);
-    table->formerWork = Millis(300);
+    table->inFlightWorkLimit = Millis(300);
     table->servers = { "server-1" };
     Slice slice;
     slice.fence = version;
     slice.state = state;
     slice.owner = state == SliceState::Unowned ? noServer : 0;
-    slice.stoppedIn = state == SliceState::Stopping ? version : 0;
+    slice.stoppedInVersion = state == SliceState::Stopping ? version : 0;
     table->slices.push_back(slice);
     onThread([&] {
         RoutingUpdate update;
--- a/tests/slice_table_test.cpp
+++ b/tests/slice_table_test.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-// Any table that faultOf() accepts.
+// Any table that validationError() accepts.
 SliceTable anyTable()
 {
     SliceTable table;
     table.service = "tracing";
     table.version = *rc::gen::inRange<uint64_t>(1, 1'000'000);
     table.workLimit = Millis(*rc::gen::inRange(1, 100'000));
-    table.formerWork = table.workLimit + Millis(*rc::gen::inRange(0, 1'000));
-    table.loweredIn = table.formerWork > table.workLimit ? 1 : 0;
+    table.inFlightWorkLimit = table.workLimit + Millis(*rc::gen::inRange(0, 1'000));
+    table.loweredInVersion = table.inFlightWorkLimit > table.workLimit ? 1 : 0;
     const auto servers = *rc::gen::inRange<size_t>(1, 20);
     for (size_t i = 0; i < servers; ++i)
         table.servers.push_back("server-" + std::to_string(i));
@@ -32,7 +32,7 @@
         if (slice.state != SliceState::Unowned)
             slice.owner = *rc::gen::inRange<ServerIndex>(0, static_cast<ServerIndex>(servers));
         if (slice.state == SliceState::Stopping) {
-            slice.stoppedIn = *rc::gen::inRange<uint64_t>(1, table.version + 1);
+            slice.stoppedInVersion = *rc::gen::inRange<uint64_t>(1, table.version + 1);
             slice.successor = *rc::gen::element(noServer, ServerIndex(0));
         }
         table.slices.push_back(slice);
@@ -84,7 +84,7 @@
         const size_t at = table.splitAt(point);
         RC_ASSERT(table.slices[at].begin == point);
         RC_ASSERT(table.slices[at].owner == before.slices[before.indexOf(point)].owner);
-        RC_ASSERT(faultOf(table).empty());
+        RC_ASSERT(validationError(table).empty());
         RC_ASSERT(table.slices[at].fence == before.slices[before.indexOf(point)].fence);
         if (table != before)
             table.slices.erase(table.slices.begin() + static_cast<ptrdiff_t>(at));
--- a/tests/stop_gate_test.cpp
+++ b/tests/stop_gate_test.cpp
@@ -38,9 +38,9 @@
     StopGate gate = gateFor(5);
     const Instant now = instantFromMillis(1000);
     gate.observe(threeHosts(), { { "a", report(5) }, { "b", report(5) }, { "c", report(5, true) } }, now);
-    CHECK_FALSE(gate.mayOwn(now));
+    CHECK_FALSE(gate.mayAssignOwner(now));
     gate.observe(threeHosts(), { { "a", report(5) }, { "b", report(5) }, { "c", report(5) } }, now);
-    CHECK(gate.mayOwn(now));
+    CHECK(gate.mayAssignOwner(now));
 }
 
 TEST_CASE("time alone is not enough: a minority's acknowledgement never opens the gate")
@@ -50,7 +50,7 @@
     StopGate gate = gateFor(5);
     for (int64_t ms = 0; ms < 60'000; ms += 100)
         gate.observe(threeHosts(), { { "a", report(5) }, { "b", report(4) } }, instantFromMillis(ms));
-    CHECK_FALSE(gate.mayOwn(instantFromMillis(60'000)));
+    CHECK_FALSE(gate.mayAssignOwner(instantFromMillis(60'000)));
 }
 
 TEST_CASE("with a majority the wait covers lease, drift and the longest work, from its acknowledgement")
@@ -60,8 +60,8 @@
     gate.observe(threeHosts(), { { "a", report(5) } }, first);
     const Instant majority = instantFromMillis(2000);
     gate.observe(threeHosts(), { { "a", report(5) }, { "b", report(5) } }, majority);
-    CHECK_FALSE(gate.mayOwn(majority + Millis(1699)));
-    CHECK(gate.mayOwn(majority + Millis(1700)));
+    CHECK_FALSE(gate.mayAssignOwner(majority + Millis(1699)));
+    CHECK(gate.mayAssignOwner(majority + Millis(1700)));
 }
 
 TEST_CASE("a young incarnation can't vouch for what the former one sent")
@@ -71,7 +71,7 @@
     StopGate gate = gateFor(5);
     const Instant now = instantFromMillis(1000);
     gate.observe(threeHosts(), { { "a", report(5) }, { "b", report(5) }, { "c", report(5, false, Millis(300)) } }, now);
-    CHECK_FALSE(gate.mayOwn(now));
+    CHECK_FALSE(gate.mayAssignOwner(now));
 }
 
 TEST_CASE("a departed host is waited for as well")
@@ -81,6 +81,6 @@
     roster.members[2].state = MemberState::Departed;
     const Instant now = instantFromMillis(1000);
     gate.observe(roster, { { "a", report(5) }, { "b", report(5) } }, now);
-    CHECK_FALSE(gate.mayOwn(now));
-    CHECK(gate.mayOwn(now + Millis(1700)));
+    CHECK_FALSE(gate.mayAssignOwner(now));
+    CHECK(gate.mayAssignOwner(now + Millis(1700)));
 }
