--- a/packages/decisions/Assigner.cpp
+++ b/packages/decisions/Assigner.cpp
@@ -33,7 +33,7 @@
     }
     if (applyMoves(draft, view, rebalance))
         changed = true;
-    // After the moves, which replace successors that were lost meanwhile.
+    // Runs after applyMoves(), which replaces successors that were lost while their slice was stopping.
     if (finishStops(draft, now))
         changed = true;
     if (!changed)
@@ -59,9 +59,10 @@
     m_gates = std::move(kept);
 }
 
-// Raising takes effect with the version that says so. Lowering has two steps, like a move: hosts dispatch by the lower
-// limit from the next version on, waits count the higher one until its last dispatch must be over. Without the second
-// step a slice would get its next owner while a frozen server still held work with the former, later deadline.
+// A raised limit takes effect with the version that contains it. A lowered limit takes two versions, like a move: hosts
+// apply the lower limit to dispatches from the next version on, while all waits keep using the higher limit until the
+// last dispatch made under it must have ended. Without the second step a slice could get its next owner while a frozen
+// server still held a request with the later deadline.
 bool ServiceAssigner::updateWorkLimit(SliceTable& draft, const SliceTable& current, const ServiceView& view,
     const Roster& roster, const HostReports& reports, Instant now)
 {
@@ -69,7 +70,7 @@
     if (!current.version) {
         draft.workLimit = configured;
         draft.inFlightWorkLimit = configured;
-        return false; // a first table is committed for its owners
+        return false; // a first table is committed once it has owners
     }
     if (configured != draft.workLimit) {
         draft.workLimit = configured;
@@ -172,7 +173,7 @@
     }
     if (!m_majorityReachedAt)
         m_majorityReachedAt = now;
-    // A departed member may route by an older roster until its lease ran out, and its work may live on.
+    // A departed member may route by an older roster until its lease expires, and its last dispatches run even longer.
     const bool departing = std::any_of(roster.members.begin(), roster.members.end(),
         [](const Member& member) { return member.state == MemberState::Departed; });
     const Millis wait = departing ? m_options.lease + m_options.driftMargin + view.longestWork : Millis(0);
@@ -200,7 +201,7 @@
             updated.state = known->state;
             if (*known == updated)
                 continue;
-            *known = updated; // the same name came back at another address
+            *known = updated; // the host returned with another address
             return draft;
         }
         draft.members.push_back(live);
@@ -212,7 +213,7 @@
         if (!view.hostsToRemove.count(member.name))
             continue;
         if (draft.activeMemberCount() == 1)
-            return std::nullopt; // an empty roster could never agree on anything again
+            return std::nullopt; // an empty roster could never reach a majority again
         member.state = MemberState::Departed;
         return draft;
     }
--- a/packages/decisions/Assigner.h
+++ b/packages/decisions/Assigner.h
@@ -1,7 +1,7 @@
-// The assigner's decisions for one service: the next version of its table, if one is due.
+// Computes the next version of a service's slice table and of the roster.
 //
-// One instance of the system at a time runs it, elected through the store. It keeps only what can be lost: the
-// gates of stopping slices. A new assigner reads the table from the store and starts the waits anew.
+// The assigner runs on one host at a time, the leader elected through the store. Its only state is soft: the gates of
+// stopping slices and of a lowered work limit. A new leader reads the table from the store and restarts these waits.
 #pragma once
 
 #include "decisions/Placement.h"
@@ -18,22 +18,22 @@
 struct AssignerOptions {
     GateOptions gate;
     PlacementOptions placement;
-    Millis rebalanceInterval { 5000 }; // between two looks at evenness; losses and drains are acted on at once
+    Millis rebalanceInterval { 5000 }; // lost and draining servers are handled at once
 };
 
-// What it decides from.
+// Input of one assigner step for a service.
 struct ServiceView {
     const ServiceResource* service = nullptr;
     PlacementInput placement;
-    bool allHostsAnswer = true; // every host answers: a move started now won't have to wait one out
+    bool allHostsAnswer = true; // if false, moves would have to wait for condition (b) of StopGate
 };
 
 class ServiceAssigner {
 public:
     explicit ServiceAssigner(AssignerOptions);
 
-    // The table to commit next, with version + 1, or nothing. Commit it with a compare on the leader key and
-    // on `current`; then call again with what was committed.
+    // Returns the table to commit next, with version + 1, or nothing if no change is due. The caller commits the table
+    // in a transaction that compares the leader key and `current`, then calls again with the committed table.
     std::optional<SliceTable> next(
         const SliceTable& current, ServiceView, const Roster&, const HostReports&, Instant now);
 
@@ -45,19 +45,20 @@
     bool applyMoves(SliceTable&, const ServiceView&, bool rebalance);
 
     AssignerOptions m_options;
-    std::map<uint64_t, StopGate> m_gates; // by the slice's begin
-    std::optional<StopGate> m_loweredLimitGate; // waits until dispatches under a former, higher limit are over
+    std::map<uint64_t, StopGate> m_gates; // stopping slices by Slice::begin
+    std::optional<StopGate> m_loweredLimitGate; // waits for dispatches made under a higher work limit
     std::optional<Instant> m_lastRebalance;
 };
 
-// Roster changes, one member a commit. Nothing while the former change is still being acknowledged.
+// Input of one assigner step for the roster.
 struct RosterView {
-    std::vector<Member> live; // from the platform's list, answering beats and ready to route
-    std::set<std::string>
-        hostsToRemove; // names that the platform no longer shows for longer than its lag, or that left
-    Millis longestWork { 1000 }; // over all services: the highest inFlightWorkLimit of their tables
+    std::vector<Member> live; // hosts on the platform's list that answer heartbeats and are ready to route
+    // Names of hosts that left, or that have been missing from the platform's list for longer than its lag.
+    std::set<std::string> hostsToRemove;
+    Millis longestWork { 1000 }; // the highest inFlightWorkLimit of all services' tables
 };
 
+// Changes the roster by one member per commit. Returns nothing until the previous change is acknowledged.
 class RosterAssigner {
 public:
     explicit RosterAssigner(GateOptions);
@@ -67,8 +68,8 @@
     bool changeIsAcknowledged(const Roster&, const RosterView&, const HostReports&, Instant now);
 
     GateOptions m_options;
-    uint64_t m_version = 0; // the version that the two below speak of
-    std::optional<Instant> m_majorityReachedAt;
+    uint64_t m_version = 0; // roster version that m_majorityReachedAt refers to
+    std::optional<Instant> m_majorityReachedAt; // when a majority had acknowledged m_version
 };
 
 }
--- a/packages/decisions/InFlight.h
+++ b/packages/decisions/InFlight.h
@@ -1,9 +1,9 @@
-// What this host has sent to servers and what may still run there.
+// Tracks the dispatches of this host that may still run at a server.
 //
-// A dispatch without an answer stays in flight until its deadline, even when its connection is long closed: a
-// frozen server may hold the request in a socket buffer and run it when it wakes. It ends earlier only by a
-// whole answer, or when nothing listens at the server's address any more and the connection was ended: then
-// the process that held the request is gone.
+// A dispatch without an answer stays in flight until its deadline, even after its connection is closed: a frozen
+// server may hold the request in a socket buffer and run it once it resumes. A dispatch ends before its deadline only
+// when its complete answer arrives, or when its connection has ended and the server's address refuses connections:
+// then the process that held the request no longer exists.
 #pragma once
 
 #include "base/Time.h"
@@ -24,11 +24,11 @@
 class InFlight {
 public:
     DispatchId add(std::string_view service, std::string_view server, uint64_t point, Instant deadline);
-    void answered(DispatchId); // a whole answer came, or surely nothing was sent
-    void connectionEnded(DispatchId); // no answer: it stays until its deadline
-    void serverGone(std::string_view server); // refuses connections: drops what connectionEnded() was called for
-    void removeExpired(Instant now); // call it before busy()
-    std::vector<BusySlice> busy(const SliceTable&) const; // stopping slices of its service with something in flight
+    void answered(DispatchId); // the complete answer arrived, or certainly nothing was sent
+    void connectionEnded(DispatchId); // no answer: the dispatch stays in flight until its deadline
+    void serverGone(std::string_view server); // refuses connections: drops its dispatches whose connection ended
+    void removeExpired(Instant now); // to be called before busy()
+    std::vector<BusySlice> busy(const SliceTable&) const; // stopping slices of the table with dispatches in flight
     size_t size() const { return m_dispatches.size(); }
 
 private:
@@ -42,7 +42,7 @@
 
     DispatchId m_next = 1;
     std::unordered_map<DispatchId, Dispatch> m_dispatches;
-    std::multimap<Instant, DispatchId> m_ended; // those whose connection ended, by deadline
+    std::multimap<Instant, DispatchId> m_ended; // dispatches whose connection ended, by deadline
 };
 
 }
--- a/packages/decisions/RoutingLease.cpp
+++ b/packages/decisions/RoutingLease.cpp
@@ -39,7 +39,7 @@
     std::string_view peer, Instant askedAt, const KnownVersions& theirs, bool peerCounts)
 {
     auto& answer = m_answers[std::string(peer)];
-    // An answer that comes late or twice must not hide a newer one of the same peer.
+    // A late or duplicate answer must not replace a newer one of the same peer.
     if (answer.counts && askedAt < answer.askedAt)
         return;
     answer = { askedAt, theirs, peerCounts };
@@ -52,7 +52,8 @@
         return;
     m_storeAnswer = { askedAt, inStore, true };
     m_storeHasAnswered = true;
-    // It holds at least what the store held after it started: nothing that it ever acknowledged is missing.
+    // This host now holds every version that the store had after this process started, so it has all versions that a
+    // previous incarnation acknowledged.
     const bool holdsAll = m_known.roster >= inStore.roster
         && std::all_of(inStore.tables.begin(), inStore.tables.end(),
             [this](const auto& table) { return m_known.ofTable(table.first) >= table.second; });
@@ -64,8 +65,8 @@
 {
     if (m_countsInMajorities || !m_roster.version)
         return;
-    // A majority that does not count this host: what its former incarnation acknowledged, together with a
-    // majority, at least one of these others acknowledged too.
+    // Needs a majority made up of other hosts alone. If a previous incarnation of this host acknowledged a version as
+    // part of a majority, at least one of these hosts acknowledged that version as well.
     size_t others = 0;
     for (const auto& member : m_roster.members) {
         if (member.state != MemberState::Member || member.name == m_self)
@@ -94,14 +95,14 @@
     if (!mayRoute())
         return never;
     Instant until = never;
-    // Equal, not only "nothing newer": a store that went back in time holds less than this host, and can't
-    // vouch for what it has forgotten.
+    // The versions must be equal: a store that was restored from a backup may hold older versions than this host, and
+    // then its answer doesn't show that no newer versions were committed.
     const bool storeHoldsSameVersions = m_storeAnswer.versions.roster == m_known.roster
         && m_storeAnswer.versions.ofTable(service) == m_known.ofTable(service);
     if (m_storeHasAnswered && storeHoldsSameVersions)
         until = m_storeAnswer.askedAt + m_options.lease;
 
-    std::vector<Instant> asked { now }; // this host's own word
+    std::vector<Instant> asked { now }; // this host itself
     for (const auto& member : m_roster.members) {
         if (member.state != MemberState::Member || member.name == m_self)
             continue;
--- a/packages/decisions/SliceTable.cpp
+++ b/packages/decisions/SliceTable.cpp
@@ -49,7 +49,7 @@
     const bool lowering = table.inFlightWorkLimit > table.workLimit;
     if (table.workLimit.count() < 0 || table.inFlightWorkLimit < table.workLimit
         || lowering != (table.loweredInVersion != 0) || table.loweredInVersion > table.version)
-        return "limits of work do not fit";
+        return "work limits are inconsistent";
     if (table.slices.front().begin)
         return "the first slice does not begin at 0";
     for (size_t i = 0; i < table.slices.size(); ++i) {
@@ -57,15 +57,15 @@
         if (i && slice.begin <= table.slices[i - 1].begin)
             return "slices are not in order";
         if (slice.fence >= table.nextFence)
-            return "a fence is not below the next one";
+            return "a fence is not below nextFence";
         const bool owned = slice.state != SliceState::Unowned;
         if (owned != (slice.owner != noServer) || (owned && slice.owner >= table.servers.size()))
-            return "an owner does not fit its state";
+            return "a slice's owner does not match its state, or does not exist";
         if (slice.successor != noServer && slice.successor >= table.servers.size())
             return "a successor does not exist";
         if ((slice.state == SliceState::Stopping) != (slice.stoppedInVersion != 0)
             || slice.stoppedInVersion > table.version)
-            return "a stop version does not fit its state";
+            return "a stop version does not match its slice's state, or is newer than the table";
     }
     return {};
 }
@@ -73,7 +73,7 @@
 SliceIndex::SliceIndex(const SliceTable& table)
     : m_table(&table)
 {
-    // About two buckets a slice, so that a lookup walks over less than one slice on average.
+    // About two buckets per slice, so that a lookup skips less than one slice on average.
     const unsigned bits = std::clamp<unsigned>(std::bit_width(table.slices.size()) + 1, 1, 20);
     m_shift = 64 - bits;
     m_firstSlice.resize(size_t(1) << bits);
@@ -91,7 +91,7 @@
     const size_t bucket = point >> m_shift;
     size_t low = m_firstSlice[bucket];
     size_t high = bucket + 1 < m_firstSlice.size() ? m_firstSlice[bucket + 1] : m_table->slices.size() - 1;
-    // The run is short as a rule, but a hot key's slices can crowd one bucket: halve it.
+    // A bucket usually holds few slices, but the narrow slices of hot keys can fill one bucket: hence a binary search.
     while (low < high) {
         const size_t middle = low + (high - low + 1) / 2;
         if (m_table->slices[middle].begin <= point)
--- a/packages/decisions/StopGate.cpp
+++ b/packages/decisions/StopGate.cpp
@@ -37,7 +37,7 @@
         if (heard && acknowledged(report->second))
             m_acknowledged.insert(member.name);
         else if (m_acknowledged.count(member.name) && heard && !report->second.counts)
-            m_acknowledged.erase(member.name); // restarted since, and does not know yet what it acknowledged
+            m_acknowledged.erase(member.name); // the host restarted, and doesn't know yet what it acknowledged
         if (!heard || !acknowledged(report->second) || !nothingInFlight(report->second))
             allIdle = false;
         if (member.state == MemberState::Member && m_acknowledged.count(member.name))
--- a/packages/decisions/StopGate.h
+++ b/packages/decisions/StopGate.h
@@ -1,15 +1,17 @@
-// When a stopping slice may get its next owner.
+// Decides when a stopping slice may get its next owner.
 //
-// A move takes two commits. The first sets the slice Stopping; the second names the new owner. The second may
-// be written when
-//   (a) every listed host of the roster, departed ones included, has acknowledged the first and has nothing in
+// A move takes two commits. The first sets the slice to Stopping, the second sets the new owner. The second commit is
+// allowed when
+//   (a) every host in the roster, departed hosts included, has acknowledged the first commit and has no dispatch in
 //       flight for the slice; or
-//   (b) a majority has acknowledged the first, and since then the routing lease, the margin for clock drift and
-//       the longest time that work can live at a server have passed.
-// Time alone is never enough: a host cut off together with half of the roster could still be fresh.
+//   (b) a majority has acknowledged the first commit, and since then the sum of the routing lease, the clock drift
+//       margin and the longest work time has passed.
+// A wait without a majority is never enough: a host that is partitioned together with half of the roster can keep
+// renewing its routing lease.
 //
-// An acknowledgement speaks for the thread that dispatches. A host's new incarnation can't vouch for what the
-// former one sent, so its word "nothing in flight" counts only once it is older than the longest work.
+// A host acknowledges a version when its dispatching thread has adopted that version. A new incarnation of a host
+// doesn't know what the previous one sent. Its report of no dispatches in flight counts only when the incarnation is
+// older than the longest work time.
 #pragma once
 
 #include "base/Time.h"
@@ -26,11 +28,11 @@
 namespace cumindale {
 
 struct GateOptions {
-    Millis lease { 600 }; // the routing lease, as in RoutingLeaseOptions
-    Millis driftMargin { 100 }; // clocks of two hosts may run apart by this much in one wait
+    Millis lease { 600 }; // same as RoutingLeaseOptions::lease
+    Millis driftMargin { 100 }; // allowance for how far two hosts' clocks may drift apart during one wait
 };
 
-// A slice with dispatches in flight, as a host reports it.
+// A slice with dispatches in flight, as reported by a host.
 struct BusySlice {
     std::string service;
     uint64_t begin = 0;
@@ -38,30 +40,30 @@
     auto operator<=>(const BusySlice&) const = default;
 };
 
-// What one host last said of itself; one snapshot of its dispatching thread.
+// A host's last report about itself: one snapshot of its dispatching thread.
 struct HostReport {
-    uint64_t incarnation = 0; // new at every start of the process
-    Millis age { 0 }; // since that start
+    uint64_t incarnation = 0; // differs for every start of the process
+    Millis age { 0 }; // since the start of the process
     bool counts = false; // see RoutingLease::countsInMajorities()
-    std::map<std::string, uint64_t, std::less<>> adoptedTables; // version by which it dispatches, by service
+    std::map<std::string, uint64_t, std::less<>> adoptedTables; // table version used for dispatch, by service
     uint64_t rosterVersion = 0;
-    int64_t resourcesRevision = 0; // of the configuration in force at its dispatching thread
-    std::vector<BusySlice> busy; // stopping slices with something in flight
-    std::map<std::string, Sight, std::less<>> sights; // of the backend servers it watches
+    int64_t resourcesRevision = 0; // store revision of the configuration in force at its dispatching thread
+    std::vector<BusySlice> busy; // stopping slices with dispatches in flight
+    std::map<std::string, Sight, std::less<>> sights; // its health observations, by backend server
 };
 
 using HostReports = std::map<std::string, HostReport, std::less<>>;
 
-// One slice that waits for its second commit. The assigner keeps one for each and drops them when it loses
-// its office: a new assigner starts the wait anew.
+// The wait of one slice between its first and its second commit. The assigner keeps a gate for each stopping slice and
+// drops all gates when it loses leadership; the next leader restarts the waits.
 class StopGate {
 public:
     StopGate(std::string service, uint64_t begin, uint64_t stopVersion, Millis longestWork, GateOptions);
 
-    // Looks at the newest reports; call it whenever they change. `now` is the assigner's clock.
+    // Evaluates the newest reports; to be called whenever they change. `now` is the assigner's clock.
     void observe(const Roster&, const HostReports&, Instant now);
-    bool mayAssignOwner(Instant now) const; // after observe()
-    bool waitIsOver(Instant now) const; // (b) alone: whatever was dispatched before is over
+    bool mayAssignOwner(Instant now) const; // to be called after observe()
+    bool waitIsOver(Instant now) const; // condition (b) alone: all dispatches by older versions have ended
     uint64_t stopVersion() const { return m_stopVersion; }
 
 private:
@@ -73,8 +75,8 @@
     uint64_t m_stopVersion;
     Millis m_longestWork;
     GateOptions m_options;
-    std::set<std::string, std::less<>> m_acknowledged; // hosts whose acknowledgement was seen, ever
-    std::optional<Instant> m_majorityReachedAt; // when a majority was first seen
+    std::set<std::string, std::less<>> m_acknowledged; // hosts that acknowledged in any report so far
+    std::optional<Instant> m_majorityReachedAt; // when a majority had first acknowledged
     bool m_allIdle = false;
 };
 
--- a/packages/decisions/TableCodec.cpp
+++ b/packages/decisions/TableCodec.cpp
@@ -9,7 +9,7 @@
     constexpr size_t checksumBytes = 8;
     constexpr size_t maxServers = 100'000;
     constexpr size_t maxSlices = 1'000'000;
-    constexpr size_t maxWorkMillis = 86'400'000; // a day
+    constexpr size_t maxWorkMillis = 86'400'000; // one day
     constexpr size_t maxNameBytes = 1'024;
     constexpr unsigned sliceStateCount = 3;
 
@@ -38,7 +38,7 @@
         out.append(text);
     }
 
-    // Reads numbers and texts; after the first fault everything reads as 0 or empty and ok() is false.
+    // Reads numbers and strings. After the first error all values read as 0 or empty, and ok() is false.
     class Reader {
     public:
         explicit Reader(std::span<const char> bytes)
--- a/packages/decisions/TableCodec.h
+++ b/packages/decisions/TableCodec.h
@@ -1,9 +1,9 @@
-// Compact binary form of a table, for the store's values (under 1 MB) and for deltas between hosts.
+// Compact binary encoding of a slice table, for values in the store (under 1 MB) and for exchange between hosts.
 //
-// Layout, all numbers LEB128 varints: magic, format, service, version, nextFence, limits of work, servers,
-// slices. A slice is
-// its distance from the one before (delta), state, owner + 1, successor + 1, fence and stop version as
-// distances below nextFence and version. A checksum (FNV-1a, 64 bit) ends it.
+// Layout, with all numbers as LEB128 varints: magic, format, service, version, nextFence, workLimit,
+// inFlightWorkLimit - workLimit, loweredInVersion, servers, slices. A slice is encoded as begin minus the previous
+// slice's begin, (owner + 1) * 3 + state, and nextFence - fence; a stopping slice has successor + 1 and
+// version - stoppedInVersion as well. An FNV-1a checksum (64 bit) follows the last slice.
 #pragma once
 
 #include "decisions/SliceTable.h"
@@ -14,9 +14,9 @@
 
 namespace cumindale {
 
-constexpr size_t maxTableBytes = 1'000'000; // the store's limit for one value
+constexpr size_t maxTableBytes = 1'000'000; // size limit of a value in the store
 
 std::string encodeTable(const SliceTable&);
-std::optional<SliceTable> decodeTable(std::span<const char> bytes); // nothing if damaged or faulty
+std::optional<SliceTable> decodeTable(std::span<const char> bytes); // nothing if damaged or invalid
 
 }
--- a/tests/in_flight_test.cpp
+++ b/tests/in_flight_test.cpp
@@ -28,8 +28,8 @@
 
 TEST_CASE("a dispatch whose connection ended stays in flight until its deadline")
 {
-    // A user would see a claim run after its key had a new owner: the server froze, the host closed the
-    // connection at the time-out and said "nothing in flight", the server woke and read its socket.
+    // Otherwise a claim could run after its key got a new owner: the server freezes, the host closes the connection at
+    // the timeout and reports nothing in flight, then the server resumes and reads the request from its socket.
     InFlight inFlight;
     const DispatchId id = inFlight.add("tracing", "server-1", 42, now + Millis(1000));
     inFlight.connectionEnded(id);
@@ -39,11 +39,11 @@
     CHECK(inFlight.busy(stoppingTable()).empty());
 }
 
-TEST_CASE("a server that refuses connections is gone, but only with the connections that it ended")
+TEST_CASE("a server that refuses connections ends only the dispatches whose connection has ended")
 {
     InFlight inFlight;
     const DispatchId open = inFlight.add("tracing", "server-1", 42, now + Millis(1000));
-    inFlight.serverGone("server-1"); // it may only have closed its listener: this one is still open
+    inFlight.serverGone("server-1"); // the connection is still open: the server may only have closed its listener
     CHECK(inFlight.busy(stoppingTable()).size() == 1);
     inFlight.connectionEnded(open);
     inFlight.serverGone("server-2");
@@ -52,7 +52,7 @@
     CHECK(inFlight.busy(stoppingTable()).empty());
 }
 
-TEST_CASE("an answered dispatch is done, and other services' slices are not busy with it")
+TEST_CASE("an answered dispatch is no longer in flight, and dispatches don't make slices of other services busy")
 {
     InFlight inFlight;
     inFlight.add("records", "server-1", 42, now + Millis(1000));
--- a/tests/protocol_model.cpp
+++ b/tests/protocol_model.cpp
@@ -132,7 +132,7 @@
         m_messages.pop();
         Host& host = m_hosts[message.to];
         if (host.pausedUntil > m_now) {
-            message.at = host.pausedUntil; // waits in its sockets
+            message.at = host.pausedUntil; // buffered in the host's sockets
             kept.push_back(std::move(message));
             continue;
         }
@@ -179,7 +179,7 @@
 void Simulation::receive(Host& host, const Payload& payload)
 {
     const std::string& peer = m_hosts[payload.from].name;
-    // A peer's later incarnation or later state is not replaced by an earlier one that comes late.
+    // A delayed report must not replace one of a later incarnation, or a later one of the same incarnation.
     auto& held = host.reports[peer];
     const bool newer = payload.report.incarnation > held.incarnation
         || (payload.report.incarnation == held.incarnation && payload.report.age >= held.age);
@@ -187,7 +187,7 @@
         held = payload.report;
     host.heardAt[peer] = m_now;
     learn(host, payload.roster, payload.table);
-    // An answer to a question of a former incarnation is not one to this: its askedAt lies before the start.
+    // Ignores answers to requests of a previous incarnation: these were sent before this one started.
     if (payload.isAnswer && payload.askedAt >= instantFromMillis(host.startedAt))
         host.lease->recordPeerAnswer(peer, payload.askedAt, payload.known, payload.counts);
     updateLease(host);
@@ -202,7 +202,7 @@
     if (table && table->version > host.known->version) {
         host.known = table;
         host.lease->updateTableVersion("s", table->version);
-        host.adoptAt = m_now + randomBetween(0, 60); // the dispatching thread hears of it later
+        host.adoptAt = m_now + randomBetween(0, 60); // the dispatching thread receives the table later
     }
 }
 
@@ -235,7 +235,7 @@
         host.nextRead = m_now + 300;
         readStore(host);
     }
-    // The work of a paused host's connections: what was answered or has run out meanwhile.
+    // Closes the connections of dispatches whose deadline has passed, for example while the host was paused.
     for (auto it = host.open.begin(); it != host.open.end();) {
         if (m_now < it->deadline) {
             ++it;
@@ -245,7 +245,7 @@
         it = host.open.erase(it);
     }
     host.inFlight.removeExpired(now());
-    dispatch(index); // before adopting: a host that wakes acts on what it last knew
+    dispatch(index); // before adopt(): a host that resumes acts on the table that it last knew
     adopt(host);
     campaign(host);
     assign(host);
@@ -296,7 +296,7 @@
         server->work.push_back({ index, host.incarnation, id, point, m_now + randomBetween(0, 50), deadline });
         ++m_outcome.dispatched;
         m_lastDispatch[point] = m_now;
-        // Sometimes the connection ends at once, while the request is on its way.
+        // Sometimes the connection ends at once, while the request is still in transit.
         if (faultsActive() && chance(0.05)) {
             host.open.pop_back();
             if (m_guards.inFlightUntilDeadline)
@@ -313,7 +313,7 @@
 {
     const int index = static_cast<int>(&host - m_hosts.data());
     if (m_now >= m_storeDownUntil && m_leader >= 0 && m_now >= m_leaderLeaseUntil) {
-        m_leader = -1; // the lease lapsed
+        m_leader = -1; // the leader's lease expired
         ++m_leaderRevision;
     }
     if (!storeAnswers(host))
@@ -337,7 +337,8 @@
 
 void Simulation::assign(Host& host)
 {
-    // A paused leader that wakes still actsAsLeader in its isLeader for one step; the store's compare stops it.
+    // A leader that resumes after a pause may act as leader for one more step; the compare in the store's transaction
+    // rejects its writes.
     const bool actsAsLeader = host.term && (m_now < host.leaderLeaseUntil || chance(0.5));
     if (!actsAsLeader || !host.roster->version)
         return;
@@ -360,7 +361,7 @@
         const bool lost = server.frozenUntil > m_now && chance(0.5);
         view.placement.servers.push_back({ server.name, "dc-1", 1, 1, !server.leaving && !lost });
     }
-    // Hot keys come and go and loads differ, so that slices are cut, joined and moved for evenness as well.
+    // Hot keys and loads change at random, so that slices are also split, merged and moved for balance.
     for (size_t i = 0; i < host.known->slices.size(); ++i)
         view.placement.sliceLoad.push_back(static_cast<double>(randomBetween(0, 100)));
     for (const uint64_t point : m_points) {
@@ -415,7 +416,7 @@
             Work& work = *it;
             if (work.begin < 0 && work.arriveAt <= m_now) {
                 if (!m_guards.absoluteDeadlines)
-                    work.deadline = m_now + workMillis; // anew
+                    work.deadline = m_now + workMillis; // restarts the time limit
                 if (m_now >= work.deadline) {
                     it = server.work.erase(it);
                     continue;
--- a/tests/protocol_model.h
+++ b/tests/protocol_model.h
@@ -1,6 +1,6 @@
-// A small world round the pure protocol: hosts, servers and the store as plain values, messages that are lost,
-// late or repeated, and faults at random from a seed. The decisions are the product's own classes; the world
-// only carries their payload. One history is one seed.
+// Deterministic simulation of the routing protocol: hosts, servers and the store are plain values, messages may be
+// lost, delayed or duplicated, and faults are drawn at random from a seed. The decisions are made by the production
+// classes; the simulation only passes messages between them. A seed determines one history.
 #pragma once
 
 #include "decisions/Assigner.h"
@@ -19,40 +19,40 @@
 
 using namespace cumindale;
 
-// Each takes one guard out, to show that the exploration notices.
+// Safety rules of the protocol. Tests switch one off at a time, to show that the exploration then finds a violation.
 struct Guards {
-    bool waitBeforeOwning = true; // lease and longest work before the second commit
-    bool majorityAcknowledges = true;
-    bool routingLease = true;
-    bool distrustYoungIncarnations = true; // a young incarnation does not vouch for its former one
-    bool restartedHostsDoNotCount = true;
-    bool inFlightUntilDeadline = true; // an ended connection stays in flight
-    bool absoluteDeadlines = true; // a frozen server does not start a request's time anew
-    bool waitForLoweredLimit = true; // after operators lowered the limit of work
+    bool waitBeforeOwning = true; // for the lease and the longest work, before the second commit of a move
+    bool majorityAcknowledges = true; // the first commit, before the wait starts
+    bool routingLease = true; // required for dispatch
+    bool distrustYoungIncarnations = true; // see StopGate: they may not know what their predecessor sent
+    bool restartedHostsDoNotCount = true; // see RoutingLease::countsInMajorities()
+    bool inFlightUntilDeadline = true; // also when the connection has ended
+    bool absoluteDeadlines = true; // a server that resumes does not restart the time limit of a request
+    bool waitForLoweredLimit = true; // until dispatches under the higher work limit have ended
 };
 
 struct Faults {
     int hosts = 3;
     int servers = 2;
-    double lossProbability = 0.05; // of a message
+    double lossProbability = 0.05; // per message, like the next two
     double duplicateProbability = 0.03;
     double delayProbability = 0.05; // by up to 3 s
     double pausePerSecond = 0.15; // of each host
     double restartPerSecond = 0.10;
     double freezePerSecond = 0.25; // of each server
-    double partitionPerSecond = 0.15; // of the network, in two halves
-    double replaceInPartitionPerSecond = 0; // of the system: a host restarts on the other side of the cut
+    double partitionPerSecond = 0.15; // of the network, into two sides
+    double replaceInPartitionPerSecond = 0; // of all hosts: one restarts on the other side of a partition
     double storeDownPerSecond = 0.10;
     double lostAnswerProbability = 0.10; // of a store write that took effect
-    double leavePerSecond = 0.30; // a server's wish flips
-    double limitChangePerSecond = 0.30; // operators change the limit of work
+    double leavePerSecond = 0.30; // of each server: it starts or stops leaving
+    double limitChangePerSecond = 0.30; // operators change the work limit
     int64_t milliseconds = 9'000;
-    int64_t faultsEndAt = 9'000; // from then on nothing fails: progress is expected
+    int64_t faultsEndAt = 9'000; // no faults from then on, so that progress is expected
 };
 
 struct Outcome {
-    size_t twoOwners = 0; // starts of work while another server was at work for the key
-    size_t tableRegressions = 0; // tables adopted below one adopted before by the same incarnation
+    size_t twoOwners = 0; // times that a server started work while another one was working for the same key
+    size_t tableRegressions = 0; // adoptions of an older table than the same incarnation had adopted before
     size_t dispatched = 0;
     size_t ownersGiven = 0;
     bool servedAtEnd = false; // every key was dispatched within the last two seconds
@@ -66,12 +66,12 @@
 private:
     static constexpr int64_t stepMillis = 25;
     static constexpr int64_t beatMillis = 100;
-    static constexpr int64_t workMillis = 1'000; // longest work, when operators don't lower it
+    static constexpr int64_t workMillis = 1'000; // the work limit unless operators lower it
     static constexpr int64_t leaderLeaseMillis = 2'000;
 
-    struct Payload { // what a host says of itself in a message
+    struct Payload { // a host's state as sent in a message
         int from = 0;
-        Instant askedAt; // of the question, echoed by the answer
+        Instant askedAt; // when the request was sent; the answer repeats it
         bool isAnswer = false;
         KnownVersions known;
         bool counts = false;
@@ -98,8 +98,8 @@
         std::string name;
         std::unique_ptr<RoutingLease> lease;
         std::shared_ptr<const Roster> roster;
-        std::shared_ptr<const SliceTable> known; // heard of
-        std::shared_ptr<const SliceTable> adopted; // by the dispatching thread
+        std::shared_ptr<const SliceTable> known; // newest one received
+        std::shared_ptr<const SliceTable> adopted; // used by the dispatching thread
         int64_t adoptAt = 0;
         uint64_t leaseVersion = 0;
         Instant leaseUntil {};
@@ -110,10 +110,10 @@
         int64_t pausedUntil = 0;
         int64_t nextBeat = 0;
         int64_t nextRead = 0;
-        HostReports reports; // heard from others
+        HostReports reports; // received from the other hosts
         std::map<std::string, int64_t, std::less<>> heardAt;
-        // The assigner's part.
-        int64_t term = 0; // leader revision that it won; 0: not leader
+        // Assigner.
+        int64_t term = 0; // leader revision with which this host won the election; 0: not leader
         int64_t leaderLeaseUntil = 0;
         std::unique_ptr<ServiceAssigner> assigner;
         std::unique_ptr<RosterAssigner> rosterAssigner;
@@ -125,7 +125,7 @@
         DispatchId id = 0;
         uint64_t point = 0;
         int64_t arriveAt = 0;
-        int64_t deadline = 0; // absolute
+        int64_t deadline = 0; // absolute time
         int64_t begin = -1;
         int64_t end = -1;
     };
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,6 +1,6 @@
-// Explores the pure protocol with random histories from fixed seeds: hosts paused, restarted with nothing and
-// cut off, messages lost, late and repeated, servers frozen and back, the store down, its answers lost after
-// the write took effect, assigners changed.
+// Explores the routing protocol with random histories from fixed seeds. Hosts are paused, restarted without state and
+// partitioned; messages are lost, delayed and duplicated; servers freeze and resume; the store is down or its answer is
+// lost after the write took effect; leadership changes.
 #include "protocol_model.h"
 
 #include <atomic>
@@ -14,7 +14,7 @@
 
 struct Total {
     std::atomic<size_t> histories { 0 };
-    std::atomic<size_t> bad { 0 }; // with two owners at work
+    std::atomic<size_t> bad { 0 }; // histories in which two servers worked for one key at a time
     std::atomic<size_t> tableRegressions { 0 };
     std::atomic<size_t> dispatched { 0 };
     std::atomic<size_t> ownersGiven { 0 };
@@ -30,12 +30,12 @@
     switch (seed / 6 % 4) {
     case 0:
         break;
-    case 1: // restarts inside partitions without the store
+    case 1: // restarts during partitions while the store is down
         faults.restartPerSecond = 0.4;
         faults.partitionPerSecond = 0.4;
         faults.storeDownPerSecond = 0.4;
         break;
-    case 3: // hosts are replaced again and again, while the servers stand still
+    case 3: // hosts are replaced repeatedly during partitions, and servers often start or stop leaving
         faults.hosts = 5;
         faults.restartPerSecond = 0.05;
         faults.replaceInPartitionPerSecond = 0.8;
@@ -45,7 +45,7 @@
         faults.freezePerSecond = 0.1;
         faults.leavePerSecond = 0.6;
         break;
-    case 2: // messages go astray
+    case 2: // many messages are lost or delayed, and hosts pause often
         faults.lossProbability = 0.3;
         faults.delayProbability = 0.3;
         faults.pausePerSecond = 0.4;
@@ -91,10 +91,10 @@
 {
     MESSAGE(name, ": ", total.histories.load(), " histories, ", total.bad.load(), " with two owners at work, ",
         total.dispatched.load(), " dispatches, ", total.ownersGiven.load(), " owners given, ", total.unserved.load(),
-        " unserved at the end, a bad seed: ", total.lastBadSeed.load());
+        " with unserved keys at the end, a seed with two owners: ", total.lastBadSeed.load());
 }
 
-// Histories needed until a version without the guard is caught.
+// Expects a violation within `maxHistories` histories, in a protocol without one of the guards.
 void expectCaught(std::string_view name, const Guards& guards, size_t maxHistories)
 {
     Total total;
@@ -105,21 +105,21 @@
 
 }
 
-TEST_CASE("never two owners at work for a key, never a table that goes back")
+TEST_CASE("two servers never work for one key at a time, and no host adopts an older table")
 {
     Total total;
     explore(histories(), {}, total);
     report("all guards", total);
     CHECK(total.bad == 0);
     CHECK(total.tableRegressions == 0);
-    CHECK(total.ownersGiven > total.histories * 4); // the histories do move slices
+    CHECK(total.ownersGiven > total.histories * 4); // the histories must contain moves of slices
 }
 
 TEST_CASE("when faults end, every key is served again")
 {
     Total total;
     explore(2'000, {}, total, true);
-    report("healed", total);
+    report("faults end early", total);
     CHECK(total.bad == 0);
     CHECK(total.unserved == 0);
 }
@@ -144,11 +144,11 @@
         guards.routingLease = false;
         expectCaught("without the lease", guards, 1'000);
     }
-    SUBCASE("the incarnation rule")
+    SUBCASE("distrust of young incarnations")
     {
         Guards guards;
         guards.distrustYoungIncarnations = false;
-        expectCaught("without the incarnation rule", guards, 4'000);
+        expectCaught("young incarnations are trusted", guards, 4'000);
     }
     SUBCASE("restarted hosts do not count")
     {
@@ -156,22 +156,22 @@
         guards.restartedHostsDoNotCount = false;
         expectCaught("restarted hosts count", guards, 20'000);
     }
-    SUBCASE("in flight until the deadline")
+    SUBCASE("dispatches in flight until their deadline")
     {
         Guards guards;
         guards.inFlightUntilDeadline = false;
         expectCaught("ended connections are forgotten", guards, 8'000);
     }
-    SUBCASE("the wait for a limit of work that was lowered")
+    SUBCASE("the wait after the work limit was lowered")
     {
         Guards guards;
         guards.waitForLoweredLimit = false;
-        expectCaught("a lowered limit counts at once", guards, 20'000);
+        expectCaught("a lowered limit applies to waits at once", guards, 20'000);
     }
     SUBCASE("absolute deadlines")
     {
         Guards guards;
         guards.absoluteDeadlines = false;
-        expectCaught("deadlines start anew", guards, 500);
+        expectCaught("deadlines restart", guards, 500);
     }
 }
--- a/tests/routing_lease_test.cpp
+++ b/tests/routing_lease_test.cpp
@@ -17,7 +17,7 @@
 
 KnownVersions knownVersions(uint64_t table, uint64_t roster = 1) { return { roster, { { "tracing", table } } }; }
 
-// host-0 of five, which has read the store at time 1000 and holds version 7.
+// The lease of host-0 in a roster of five; it read the store at time 1000 and holds table version 7.
 RoutingLease leaseOfHost0()
 {
     RoutingLease lease("host-0", { Millis(600) });
@@ -29,10 +29,10 @@
 
 }
 
-TEST_CASE("the lease counts from when the majority was asked, not from when it answered")
+TEST_CASE("the lease counts from when the requests to the majority were sent, not from their answers")
 {
-    // A user would see two servers run work for one key. A host asks, freezes for a while, wakes, reads the
-    // answers that waited in its sockets and dispatches by a table that was replaced while it slept.
+    // Otherwise two servers could run work for one key: a host sends its requests, is paused, then reads the answers
+    // buffered in its sockets and dispatches by a table that was replaced during the pause.
     RoutingLease lease = leaseOfHost0();
     lease.recordPeerAnswer("host-1", instantFromMillis(2000), knownVersions(7), true);
     lease.recordPeerAnswer("host-2", instantFromMillis(2050), knownVersions(7), true);
@@ -40,7 +40,7 @@
     CHECK(lease.validUntil("tracing", wokenAt) == instantFromMillis(2600));
 }
 
-TEST_CASE("two of five are no majority, and a host that does not count adds nothing")
+TEST_CASE("two of five are no majority, and a peer that may not be counted adds nothing")
 {
     RoutingLease lease = leaseOfHost0();
     const Instant now = instantFromMillis(5000);
@@ -51,29 +51,29 @@
     CHECK(lease.validUntil("tracing", now) == now + Millis(600));
 }
 
-TEST_CASE("one peer that knows a newer version is not outvoted by its own older answer")
+TEST_CASE("an older answer of a peer does not replace its newer one, which knows a newer version")
 {
     RoutingLease lease = leaseOfHost0();
     const Instant now = instantFromMillis(5000);
     lease.recordPeerAnswer("host-1", now, knownVersions(7), true);
     lease.recordPeerAnswer("host-2", now, knownVersions(8), true);
-    lease.recordPeerAnswer("host-2", now - Millis(100), knownVersions(7), true); // late, or repeated
+    lease.recordPeerAnswer("host-2", now - Millis(100), knownVersions(7), true); // late or duplicate
     CHECK(lease.validUntil("tracing", now) < now);
 }
 
-TEST_CASE("a store that went back in time vouches for nothing")
+TEST_CASE("a store with older versions than the host's does not renew the lease")
 {
-    // A user would see a key served by its former owner. The platform restores the store from a backup; a host
-    // that holds version 7 reads version 6 there and takes "nothing newer" for "still the newest".
+    // Otherwise a key could be served by its previous owner: the platform restores the store from a backup, and a host
+    // that holds version 7 reads version 6 there and concludes that version 7 is the newest.
     RoutingLease lease = leaseOfHost0();
     lease.recordStoreAnswer(instantFromMillis(5000), knownVersions(6));
     CHECK(lease.validUntil("tracing", instantFromMillis(5000)) < instantFromMillis(5000));
 }
 
-TEST_CASE("a restarted host counts only after it has read the store or heard a majority without itself")
+TEST_CASE("a restarted host counts only after it has read the store or has answers from a majority of other hosts")
 {
-    // A user would see two owners: host-0 acknowledged a stop together with two others, restarted with nothing,
-    // and answered "I know nothing newer" to the two that had not heard of the stop.
+    // Otherwise a key could have two owners: host-0 acknowledges a stop together with two other hosts, restarts without
+    // state, and answers the remaining two, which don't know of the stop, that it knows of nothing newer.
     RoutingLease lease("host-0", { Millis(600) });
     CHECK_FALSE(lease.countsInMajorities());
     lease.updateRoster(rosterOf(5));
@@ -81,16 +81,16 @@
     const Instant now = instantFromMillis(5000);
     lease.recordPeerAnswer("host-1", now, knownVersions(7), true);
     lease.recordPeerAnswer("host-2", now, knownVersions(7), true);
-    CHECK_FALSE(lease.countsInMajorities()); // with itself they would be three
+    CHECK_FALSE(lease.countsInMajorities()); // a majority only if host-0 counted itself
     CHECK(lease.validUntil("tracing", now) < now);
     lease.recordPeerAnswer("host-3", now, knownVersions(8), true);
-    CHECK_FALSE(lease.countsInMajorities()); // it does not hold yet what host-3 knows
+    CHECK_FALSE(lease.countsInMajorities()); // host-0 doesn't hold version 8 yet, which host-3 knows
     lease.updateTableVersion("tracing", 8);
     lease.recordPeerAnswer("host-4", now, knownVersions(8), true);
     CHECK(lease.countsInMajorities());
 }
 
-TEST_CASE("a host that the roster does not name never routes")
+TEST_CASE("a host that is not in the roster never routes")
 {
     RoutingLease lease("host-9", { Millis(600) });
     lease.updateRoster(rosterOf(1));
--- a/tests/slice_table_test.cpp
+++ b/tests/slice_table_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Any table that validationError() accepts.
+// Generates an arbitrary valid table.
 SliceTable anyTable()
 {
     SliceTable table;
@@ -42,7 +42,7 @@
 
 }
 
-TEST_CASE("a table survives its codec, and no damaged one is taken for whole")
+TEST_CASE("a table decodes to the same table, and damaged or truncated bytes are rejected")
 {
     CHECK(rc::check([] {
         const SliceTable table = anyTable();
@@ -58,12 +58,12 @@
     }));
 }
 
-TEST_CASE("arbitrary bytes are refused, never read out of bounds")
+TEST_CASE("arbitrary bytes are rejected without reading out of bounds")
 {
     CHECK(rc::check([](const std::string& bytes) { RC_ASSERT(!decodeTable(bytes).has_value()); }));
 }
 
-TEST_CASE("the index finds the same slice as the search through the table")
+TEST_CASE("the index finds the same slice as a binary search of the table")
 {
     CHECK(rc::check([](uint64_t point) {
         const SliceTable table = anyTable();
@@ -76,7 +76,7 @@
     }));
 }
 
-TEST_CASE("a split keeps owner and fence on both sides, and changes nothing else")
+TEST_CASE("a split keeps owner and fence in both parts, and changes nothing else")
 {
     CHECK(rc::check([](uint64_t point) {
         const SliceTable before = anyTable();
@@ -88,6 +88,6 @@
         RC_ASSERT(table.slices[at].fence == before.slices[before.indexOf(point)].fence);
         if (table != before)
             table.slices.erase(table.slices.begin() + static_cast<ptrdiff_t>(at));
-        RC_ASSERT(table == before); // nothing but the cut was added
+        RC_ASSERT(table == before); // only the new slice was added
     }));
 }
--- a/tests/stop_gate_test.cpp
+++ b/tests/stop_gate_test.cpp
@@ -33,7 +33,7 @@
 
 }
 
-TEST_CASE("with every host idle the slice may have its next owner at once")
+TEST_CASE("the slice may get its next owner at once when no host has a dispatch in flight")
 {
     StopGate gate = gateFor(5);
     const Instant now = instantFromMillis(1000);
@@ -43,17 +43,17 @@
     CHECK(gate.mayAssignOwner(now));
 }
 
-TEST_CASE("time alone is not enough: a minority's acknowledgement never opens the gate")
+TEST_CASE("acknowledgement by a minority is not enough, however long the wait")
 {
-    // A user would see two owners: the assigner reaches one host of three, the other two stay fresh through
-    // each other and dispatch to the former owner for as long as the cut lasts.
+    // Otherwise a key could have two owners: the assigner reaches one host of three, while the other two renew each
+    // other's routing lease and dispatch to the previous owner for as long as the partition lasts.
     StopGate gate = gateFor(5);
     for (int64_t ms = 0; ms < 60'000; ms += 100)
         gate.observe(threeHosts(), { { "a", report(5) }, { "b", report(4) } }, instantFromMillis(ms));
     CHECK_FALSE(gate.mayAssignOwner(instantFromMillis(60'000)));
 }
 
-TEST_CASE("with a majority the wait covers lease, drift and the longest work, from its acknowledgement")
+TEST_CASE("after a majority acknowledged, the wait lasts for the lease, the drift margin and the longest work")
 {
     StopGate gate = gateFor(5);
     const Instant first = instantFromMillis(1000);
@@ -64,17 +64,17 @@
     CHECK(gate.mayAssignOwner(majority + Millis(1700)));
 }
 
-TEST_CASE("a young incarnation can't vouch for what the former one sent")
+TEST_CASE("a young incarnation's report of nothing in flight is not enough")
 {
-    // A user would see a claim run at the old owner after the new one took over: a host sent it to a frozen
-    // server, was killed and replaced at once, and its successor said "nothing in flight".
+    // Otherwise a claim could run at the previous owner after the new owner took over: a host sends the claim to a
+    // frozen server, is killed and replaced at once, and the new incarnation reports nothing in flight.
     StopGate gate = gateFor(5);
     const Instant now = instantFromMillis(1000);
     gate.observe(threeHosts(), { { "a", report(5) }, { "b", report(5) }, { "c", report(5, false, Millis(300)) } }, now);
     CHECK_FALSE(gate.mayAssignOwner(now));
 }
 
-TEST_CASE("a departed host is waited for as well")
+TEST_CASE("the gate waits for departed hosts as well")
 {
     StopGate gate = gateFor(5);
     Roster roster = threeHosts();
