--- a/packages/decisions/StopGate.cpp
+++ b/packages/decisions/StopGate.cpp
@@ -29,22 +29,22 @@
 
 void StopGate::observe(const Roster& roster, const HostReports& reports, Instant now)
 {
-    size_t members = 0;
+    size_t acknowledgedMembers = 0;
     bool allIdle = true;
     for (const auto& member : roster.members) {
         const auto report = reports.find(member.name);
-        const bool heard = report != reports.end();
-        if (heard && acknowledged(report->second))
+        const bool hasReport = report != reports.end();
+        if (hasReport && acknowledged(report->second))
             m_acknowledged.insert(member.name);
-        else if (m_acknowledged.count(member.name) && heard && !report->second.counts)
+        else if (m_acknowledged.count(member.name) && hasReport && !report->second.counts)
             m_acknowledged.erase(member.name); // the host restarted, and doesn't know yet what it acknowledged
-        if (!heard || !acknowledged(report->second) || !nothingInFlight(report->second))
+        if (!hasReport || !acknowledged(report->second) || !nothingInFlight(report->second))
             allIdle = false;
         if (member.state == MemberState::Member && m_acknowledged.count(member.name))
-            ++members;
+            ++acknowledgedMembers;
     }
     m_allIdle = allIdle;
-    if (!m_majorityReachedAt && members >= roster.majority())
+    if (!m_majorityReachedAt && acknowledgedMembers >= roster.majority())
         m_majorityReachedAt = now;
 }
 
--- a/tests/protocol_model.cpp
+++ b/tests/protocol_model.cpp
@@ -120,20 +120,20 @@
     const int copies = faultsActive() && chance(m_faults.duplicateProbability) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         const bool late = faultsActive() && chance(m_faults.delayProbability);
-        m_messages.push({ m_now + randomBetween(0, late ? 3'000 : 60), ++m_nextMessage, to, payload });
+        m_messages.push({ m_now + randomBetween(0, late ? 3'000 : 60), ++m_lastOrder, to, payload });
     }
 }
 
 void Simulation::deliver()
 {
-    std::vector<Message> kept;
+    std::vector<Message> delayed;
     while (!m_messages.empty() && m_messages.top().at <= m_now) {
         Message message = m_messages.top();
         m_messages.pop();
         Host& host = m_hosts[message.to];
         if (host.pausedUntil > m_now) {
             message.at = host.pausedUntil; // buffered in the host's sockets
-            kept.push_back(std::move(message));
+            delayed.push_back(std::move(message));
             continue;
         }
         receive(host, message.payload);
@@ -144,7 +144,7 @@
             send(message.to, message.payload.from, std::move(answer));
         }
     }
-    for (auto& message : kept)
+    for (auto& message : delayed)
         m_messages.push(std::move(message));
 }
 
--- a/tests/protocol_model.h
+++ b/tests/protocol_model.h
@@ -170,7 +170,7 @@
     Guards m_guards;
     std::mt19937_64 m_random;
     int64_t m_now = 0;
-    uint64_t m_nextMessage = 0;
+    uint64_t m_lastOrder = 0;
     std::vector<Host> m_hosts;
     std::vector<Server> m_servers;
     std::vector<int> m_side;
