--- a/packages/decisions/StopGate.cpp
+++ b/packages/decisions/StopGate.cpp
@@ -29,30 +29,30 @@
 
 void StopGate::observe(const Roster& roster, const HostReports& reports, Instant now)
 {
-    size_t members = 0;
+    size_t acknowledgedMembers = 0;
     bool allIdle = true;
     for (const auto& member : roster.members) {
         const auto report = reports.find(member.name);
-        const bool heard = report != reports.end();
-        if (heard && acknowledged(report->second))
+        const bool hasReport = report != reports.end();
+        if (hasReport && acknowledged(report->second))
             m_acknowledged.insert(member.name);
-        else if (m_acknowledged.count(member.name) && heard && !report->second.counts)
-            m_acknowledged.erase(member.name); // restarted since, and does not know yet what it acknowledged
-        if (!heard || !acknowledged(report->second) || !nothingInFlight(report->second))
+        else if (m_acknowledged.count(member.name) && hasReport && !report->second.counts)
+            m_acknowledged.erase(member.name); // the host restarted, and doesn't know yet what it acknowledged
+        if (!hasReport || !acknowledged(report->second) || !nothingInFlight(report->second))
             allIdle = false;
         if (member.state == MemberState::Member && m_acknowledged.count(member.name))
-            ++members;
+            ++acknowledgedMembers;
     }
     m_allIdle = allIdle;
-    if (!m_majorityAt && members >= roster.majority())
-        m_majorityAt = now;
+    if (!m_majorityReachedAt && acknowledgedMembers >= roster.majority())
+        m_majorityReachedAt = now;
 }
 
-bool StopGate::mayOwn(Instant now) const { return m_allIdle || waitedOut(now); }
+bool StopGate::mayAssignOwner(Instant now) const { return m_allIdle || waitIsOver(now); }
 
-bool StopGate::waitedOut(Instant now) const
+bool StopGate::waitIsOver(Instant now) const
 {
-    return m_majorityAt && now >= *m_majorityAt + m_options.lease + m_options.driftMargin + m_longestWork;
+    return m_majorityReachedAt && now >= *m_majorityReachedAt + m_options.lease + m_options.driftMargin + m_longestWork;
 }
 
 }
--- a/tests/slice_table_test.cpp
+++ b/tests/slice_table_test.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-// Any table that faultOf() accepts.
+// Generates an arbitrary valid table.
 SliceTable anyTable()
 {
     SliceTable table;
     table.service = "tracing";
     table.version = *rc::gen::inRange<uint64_t>(1, 1'000'000);
     table.workLimit = Millis(*rc::gen::inRange(1, 100'000));
-    table.formerWork = table.workLimit + Millis(*rc::gen::inRange(0, 1'000));
-    table.loweredIn = table.formerWork > table.workLimit ? 1 : 0;
+    table.inFlightWorkLimit = table.workLimit + Millis(*rc::gen::inRange(0, 1'000));
+    table.loweredInVersion = table.inFlightWorkLimit > table.workLimit ? 1 : 0;
     const auto servers = *rc::gen::inRange<size_t>(1, 20);
     for (size_t i = 0; i < servers; ++i)
         table.servers.push_back("server-" + std::to_string(i));
@@ -32,7 +32,7 @@
         if (slice.state != SliceState::Unowned)
             slice.owner = *rc::gen::inRange<ServerIndex>(0, static_cast<ServerIndex>(servers));
         if (slice.state == SliceState::Stopping) {
-            slice.stoppedIn = *rc::gen::inRange<uint64_t>(1, table.version + 1);
+            slice.stoppedInVersion = *rc::gen::inRange<uint64_t>(1, table.version + 1);
             slice.successor = *rc::gen::element(noServer, ServerIndex(0));
         }
         table.slices.push_back(slice);
@@ -42,7 +42,7 @@
 
 }
 
-TEST_CASE("a table survives its codec, and no damaged one is taken for whole")
+TEST_CASE("a table decodes to the same table, and damaged or truncated bytes are rejected")
 {
     CHECK(rc::check([] {
         const SliceTable table = anyTable();
@@ -58,12 +58,12 @@
     }));
 }
 
-TEST_CASE("arbitrary bytes are refused, never read out of bounds")
+TEST_CASE("arbitrary bytes are rejected without reading out of bounds")
 {
     CHECK(rc::check([](const std::string& bytes) { RC_ASSERT(!decodeTable(bytes).has_value()); }));
 }
 
-TEST_CASE("the index finds the same slice as the search through the table")
+TEST_CASE("the index finds the same slice as a binary search of the table")
 {
     CHECK(rc::check([](uint64_t point) {
         const SliceTable table = anyTable();
@@ -76,7 +76,7 @@
     }));
 }
 
-TEST_CASE("a split keeps owner and fence on both sides, and changes nothing else")
+TEST_CASE("a split keeps owner and fence in both parts, and changes nothing else")
 {
     CHECK(rc::check([](uint64_t point) {
         const SliceTable before = anyTable();
@@ -84,10 +84,10 @@
         const size_t at = table.splitAt(point);
         RC_ASSERT(table.slices[at].begin == point);
         RC_ASSERT(table.slices[at].owner == before.slices[before.indexOf(point)].owner);
-        RC_ASSERT(faultOf(table).empty());
+        RC_ASSERT(validationError(table).empty());
         RC_ASSERT(table.slices[at].fence == before.slices[before.indexOf(point)].fence);
         if (table != before)
             table.slices.erase(table.slices.begin() + static_cast<ptrdiff_t>(at));
-        RC_ASSERT(table == before); // nothing but the cut was added
+        RC_ASSERT(table == before); // only the new slice was added
     }));
 }
