--- a/packages/backends/ServerPool.cpp
+++ b/packages/backends/ServerPool.cpp
@@ -173,7 +173,7 @@
     const TicketId ticket = m_nextTicket++;
     request.ticket = ticket;
     const Instant now = m_clock.now();
-    const SlotQueue::Verdict verdict = m_admission->ask(request, now);
+    const SlotQueue::Verdict verdict = m_admission->requestSlot(request, now);
     tellShed();
     switch (verdict) {
     case SlotQueue::Verdict::Started:
@@ -185,10 +185,10 @@
     }
     Waiting waiting { Signal(m_executor) };
     m_waiting.emplace(ticket, &waiting);
-    const Instant giveUpAt = m_admission->giveUpAt(request);
-    for (Instant time = now; !waiting.admitted && !waiting.evicted && !waiting.shed && time < giveUpAt;
+    const Instant latestStart = m_admission->latestStart(request);
+    for (Instant time = now; !waiting.admitted && !waiting.evicted && !waiting.shed && time < latestStart;
          time = m_clock.now()) {
-        co_await waiting.signal.wait(std::min(giveUpAt, m_admission->nextStart(time)) - time);
+        co_await waiting.signal.wait(std::min(latestStart, m_admission->nextStart(time)) - time);
         startWaiting();
     }
     m_waiting.erase(ticket);
@@ -219,7 +219,7 @@
 
 void ServerPool::release(PriorityClass priority, Millis took)
 {
-    m_admission->finished(priority, took, m_clock.now());
+    m_admission->releaseSlot(priority, took, m_clock.now());
     startWaiting();
 }
 
--- a/packages/control/AssignerDriver.cpp
+++ b/packages/control/AssignerDriver.cpp
@@ -227,7 +227,7 @@
     view.service = &service;
     const auto resources = m_view.resources();
     for (const ServerResource* server : resources->serversOf(service.name)) {
-        const bool usable = resources->wanted(*server) && !lost(server->name, reports, now);
+        const bool usable = resources->acceptsWork(*server) && !lost(server->name, reports, now);
         view.placement.servers.push_back(
             { server->name, server->dataCentre, server->slots, warmth(*server, usable, now), usable });
     }
--- a/packages/decisions/Admission.cpp
+++ b/packages/decisions/Admission.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    constexpr double newestWeight = 0.1; // of the newest work in the moving average
-    constexpr double waitOverWork = 3; // a wait of so many times the class's own work is always worth it
+    constexpr double smoothing = 0.1; // of the newest work in the moving average
+    constexpr double maxWaitOverWork = 3; // a wait of so many times the class's own work is always worth it
 
 }
 
@@ -17,47 +17,47 @@
 {
 }
 
-Admission::Verdict Admission::ask(
+Admission::Verdict Admission::requestSlot(
     TicketId ticket, PriorityClass priority, Instant arrived, Instant now, Instant deadline)
 {
-    if (m_inFlight < m_limit && m_places.empty()) {
+    if (m_inFlight < m_limit && m_queueKeys.empty()) {
         ++m_inFlight;
         return Verdict::Started;
     }
     const Millis wait = expectedWait(priority);
-    if (m_places.size() >= m_options.longestQueue || wait > longestWait(priority) || now + wait >= deadline)
+    if (m_queueKeys.size() >= m_options.maxQueueLength || wait > maxWait(priority) || now + wait >= deadline)
         return Verdict::Refused;
     ClassState& state = stateOf(priority);
     if (state.waiting.empty())
-        joinRound(state);
-    const Place place { toMillis(arrived), ticket };
-    state.waiting.emplace(place, ticket);
-    m_places.emplace(ticket, std::pair { priority, place });
+        alignVirtualTime(state);
+    const QueueKey queueKey { toMillis(arrived), ticket };
+    state.waiting.emplace(queueKey, ticket);
+    m_queueKeys.emplace(ticket, std::pair { priority, queueKey });
     return Verdict::Queued;
 }
 
-void Admission::joinRound(ClassState& joining)
+void Admission::alignVirtualTime(ClassState& activated)
 {
     // A class that had nothing waiting has saved nothing up: it starts level with the least used of the others.
-    double least = -1;
+    double lowest = -1;
     for (const auto& state : m_classes) {
-        if (!state.waiting.empty() && (least < 0 || state.used < least))
-            least = state.used;
+        if (!state.waiting.empty() && (lowest < 0 || state.virtualTime < lowest))
+            lowest = state.virtualTime;
     }
-    joining.used = std::max(joining.used, least);
+    activated.virtualTime = std::max(activated.virtualTime, lowest);
 }
 
 bool Admission::withdraw(TicketId ticket)
 {
-    const auto found = m_places.find(ticket);
-    if (found == m_places.end())
+    const auto found = m_queueKeys.find(ticket);
+    if (found == m_queueKeys.end())
         return false;
     stateOf(found->second.first).waiting.erase(found->second.second);
-    m_places.erase(found);
+    m_queueKeys.erase(found);
     return true;
 }
 
-void Admission::finished(PriorityClass priority, Millis took)
+void Admission::releaseSlot(PriorityClass priority, Millis took)
 {
     if (m_inFlight)
         --m_inFlight;
@@ -65,7 +65,7 @@
         return;
     ClassState& state = stateOf(priority);
     const double millis = static_cast<double>(took.count());
-    state.meanMillis += newestWeight * (millis - state.meanMillis);
+    state.meanMillis += smoothing * (millis - state.meanMillis);
 }
 
 std::optional<TicketId> Admission::startNext()
@@ -75,7 +75,7 @@
     ClassState* next = nullptr;
     size_t nextIndex = 0;
     for (size_t i = 0; i < m_classes.size(); ++i) {
-        if (!m_classes[i].waiting.empty() && (!next || m_classes[i].used < next->used)) {
+        if (!m_classes[i].waiting.empty() && (!next || m_classes[i].virtualTime < next->virtualTime)) {
             next = &m_classes[i];
             nextIndex = i;
         }
@@ -84,17 +84,17 @@
         return std::nullopt;
     const TicketId ticket = next->waiting.begin()->second;
     next->waiting.erase(next->waiting.begin());
-    m_places.erase(ticket);
+    m_queueKeys.erase(ticket);
     // Charged when it starts, by what its class takes on average: slow work under way counts at once.
-    next->used += next->meanMillis / m_options.classes[nextIndex].share;
+    next->virtualTime += next->meanMillis / m_options.classes[nextIndex].share;
     ++m_inFlight;
     return ticket;
 }
 
-Millis Admission::longestWait(PriorityClass priority) const
+Millis Admission::maxWait(PriorityClass priority) const
 {
-    const double work = waitOverWork * m_classes[static_cast<size_t>(priority)].meanMillis;
-    return std::max(policyOf(priority).longestWait, Millis(std::llround(work)));
+    const double workMillis = maxWaitOverWork * m_classes[static_cast<size_t>(priority)].meanMillis;
+    return std::max(policyOf(priority).maxWait, Millis(std::llround(workMillis)));
 }
 
 Millis Admission::meanWork(PriorityClass priority) const
@@ -104,15 +104,15 @@
 
 Millis Admission::expectedWait(PriorityClass priority) const
 {
-    const ClassState& mine = m_classes[static_cast<size_t>(priority)];
-    double shares = 0;
+    const ClassState& own = m_classes[static_cast<size_t>(priority)];
+    double activeShares = 0;
     for (size_t i = 0; i < m_classes.size(); ++i) {
-        if (&m_classes[i] == &mine || !m_classes[i].waiting.empty())
-            shares += m_options.classes[i].share;
+        if (&m_classes[i] == &own || !m_classes[i].waiting.empty())
+            activeShares += m_options.classes[i].share;
     }
-    const double slots = m_limit * policyOf(priority).share / shares;
-    const double ahead = static_cast<double>(mine.waiting.size() + 1);
-    return Millis(std::llround(std::ceil(ahead * mine.meanMillis / slots)));
+    const double ownSlots = m_limit * policyOf(priority).share / activeShares;
+    const double ahead = static_cast<double>(own.waiting.size() + 1);
+    return Millis(std::llround(std::ceil(ahead * own.meanMillis / ownSlots)));
 }
 
 }
--- a/packages/decisions/Admission.h
+++ b/packages/decisions/Admission.h
@@ -25,11 +25,11 @@
 // How one class of requests is treated.
 struct ClassPolicy {
     double share = 1; // of the server's time, against the classes that wait as well
-    Millis longestWait { 0 }; // worth waiting for; a few times the class's own work if that is longer
+    Millis maxWait { 0 }; // worth waiting for; a few times the class's own work if that is longer
 };
 
 struct AdmissionOptions {
-    size_t longestQueue = 256; // over all classes
+    size_t maxQueueLength = 256; // over all classes
     // Under overload a short queue answers those it takes in time, and tells the others at once when to come
     // back; a long one makes everybody late. Archive reads may wait to their deadline.
     std::array<ClassPolicy, priorityClassCount> classes { {
@@ -47,34 +47,35 @@
     void setLimit(double limit) override { m_limit = limit < 1 ? 1 : static_cast<unsigned>(limit); }
     unsigned limit() const override { return m_limit; }
     unsigned inFlight() const override { return m_inFlight; }
-    size_t queued() const override { return m_places.size(); }
+    size_t queued() const override { return m_queueKeys.size(); }
 
     // --- Asking for a slot
-    Verdict ask(const SlotRequest& request, Instant now) override
+    Verdict requestSlot(const SlotRequest& request, Instant now) override
     {
-        return ask(request.ticket, request.priority, request.arrived, now, request.deadline);
+        return requestSlot(request.ticket, request.priority, request.arrived, now, request.deadline);
     }
-    Instant giveUpAt(const SlotRequest& request) const override { return request.deadline; }
-    Verdict ask(TicketId, PriorityClass, Instant arrived, Instant now, Instant deadline); // arrived: its age counts
+    Instant latestStart(const SlotRequest& request) const override { return request.deadline; }
+    Verdict requestSlot(
+        TicketId, PriorityClass, Instant arrived, Instant now, Instant deadline); // arrived: its age counts
     bool withdraw(
         TicketId) override; // leaves the queue: the caller went away or the deadline passed; false if not in it
 
     // --- Giving a slot back
-    void finished(PriorityClass, Millis took); // one in flight has ended; 0: it was not used
+    void releaseSlot(PriorityClass, Millis took); // one in flight has ended; 0: it was not used
     std::optional<TicketId> startNext(); // the next from the queue, now counted in flight; call until empty
-    void finished(PriorityClass priority, Millis took, Instant) override { finished(priority, took); }
+    void releaseSlot(PriorityClass priority, Millis took, Instant) override { releaseSlot(priority, took); }
     std::optional<TicketId> startNext(Instant) override { return startNext(); }
 
     Millis meanWork(PriorityClass) const override;
     Millis expectedWait(PriorityClass) const override;
 
 private:
-    using Place = std::pair<int64_t, TicketId>; // arrival in ms; the id keeps the order of asking
+    using QueueKey = std::pair<int64_t, TicketId>; // arrival in ms; the id keeps the order of asking
 
     struct ClassState {
-        std::map<Place, TicketId> waiting;
+        std::map<QueueKey, TicketId> waiting;
         double meanMillis = 5; // of work, moving average
-        double used = 0; // time used over share; the class with the least goes next
+        double virtualTime = 0; // time used over share; the class with the least goes next
     };
 
     ClassState& stateOf(PriorityClass priority) { return m_classes[static_cast<size_t>(priority)]; }
@@ -82,14 +83,14 @@
     {
         return m_options.classes[static_cast<size_t>(priority)];
     }
-    Millis longestWait(PriorityClass) const;
-    void joinRound(ClassState&);
+    Millis maxWait(PriorityClass) const;
+    void alignVirtualTime(ClassState&);
 
     AdmissionOptions m_options;
     unsigned m_limit = 1;
     unsigned m_inFlight = 0;
     std::array<ClassState, priorityClassCount> m_classes;
-    std::map<TicketId, std::pair<PriorityClass, Place>> m_places;
+    std::map<TicketId, std::pair<PriorityClass, QueueKey>> m_queueKeys;
 };
 
 }
--- /dev/null
+++ b/packages/decisions/DeadlineQueue.cpp
@@ -0,0 +1,198 @@
+#include "decisions/DeadlineQueue.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace cumindale {
+
+DeadlineQueue::DeadlineQueue(DeadlineQueueOptions options)
+    : m_options(options)
+{
+}
+
+Millis DeadlineQueue::meanWork(PriorityClass priority) const
+{
+    const double mean = m_meanMillis[static_cast<size_t>(priority)];
+    return mean > 0 ? Millis(std::llround(mean)) : m_options.initialWork;
+}
+
+double DeadlineQueue::overallMeanMillis() const
+{
+    double sum = 0;
+    int classCount = 0;
+    for (const double mean : m_meanMillis) {
+        sum += mean;
+        classCount += mean > 0;
+    }
+    return classCount ? sum / classCount : static_cast<double>(m_options.initialWork.count());
+}
+
+Millis DeadlineQueue::requiredTime(const SlotRequest& request) const
+{
+    return Millis(std::llround(static_cast<double>(meanWork(request.priority).count()) * m_options.minWorkFraction));
+}
+
+bool DeadlineQueue::meetsTarget(const SlotRequest& request, Instant startTime) const
+{
+    return startTime + meanWork(request.priority) <= request.target;
+}
+
+Instant DeadlineQueue::latestStart(const SlotRequest& request) const
+{
+    return request.deadline == Instant::max() ? request.deadline : request.deadline - requiredTime(request);
+}
+
+bool DeadlineQueue::unresponsive(Instant now) const
+{
+    const Millis silenceLimit(std::llround(overallMeanMillis() * m_options.unresponsiveFactor));
+    return m_inFlight >= m_limit && now - m_lastProgress > std::max(m_options.minUnresponsiveTime, silenceLimit);
+}
+
+void DeadlineQueue::setLimit(double limit)
+{
+    constexpr double minFraction = 0.01; // a pause of a hundred times the work: as good as none
+    m_limit = limit < 1 ? 1 : static_cast<unsigned>(limit);
+    m_limitFraction = std::clamp(limit, minFraction, 1.0);
+    if (m_limitFraction >= 1)
+        m_earliestStart = {};
+}
+
+void DeadlineQueue::setPermits(std::optional<unsigned> permits, Millis interval, Instant now)
+{
+    m_permits = permits;
+    m_permitInterval = interval;
+    if (permits)
+        shedPredictedTimeouts(now);
+}
+
+double DeadlineQueue::startIntervalMillis() const
+{
+    if (m_permits)
+        return static_cast<double>(m_permitInterval.count());
+    return overallMeanMillis() / (m_limitFraction < 1 ? m_limitFraction : m_limit);
+}
+
+void DeadlineQueue::recordStart(Instant now)
+{
+    if (!m_inFlight)
+        m_lastProgress = now;
+    ++m_inFlight;
+    if (m_permits)
+        --*m_permits;
+    else if (m_limitFraction < 1)
+        m_earliestStart = now + Millis(std::llround(startIntervalMillis()));
+}
+
+bool DeadlineQueue::canStart(Instant now) const
+{
+    return m_permits ? *m_permits > 0 : m_inFlight < m_limit && now >= m_earliestStart;
+}
+
+Instant DeadlineQueue::nextStart(Instant now) const
+{
+    const bool delayed = !m_permits && m_inFlight < m_limit && m_earliestStart > now;
+    return m_waiting.empty() || !delayed ? Instant::max() : m_earliestStart;
+}
+
+SlotQueue::Verdict DeadlineQueue::requestSlot(const SlotRequest& request, Instant now)
+{
+    if (now >= latestStart(request))
+        return Verdict::Refused;
+    if (canStart(now) && m_waiting.empty()) {
+        recordStart(now);
+        return Verdict::Started;
+    }
+    if (m_waiting.size() >= m_options.maxQueueLength || unresponsive(now))
+        return Verdict::Refused;
+    m_waiting.push_back(request);
+    shedPredictedTimeouts(now);
+    const auto shed = std::find(m_shed.begin(), m_shed.end(), request.ticket);
+    if (shed == m_shed.end())
+        return Verdict::Queued;
+    m_shed.erase(shed);
+    return Verdict::Refused;
+}
+
+DeadlineQueue::WaitingList::iterator DeadlineQueue::selectNext(
+    WaitingList& waiting, Instant startTime, unsigned starts) const
+{
+    const bool oldestFirst = starts % m_options.oldestFirstInterval == 0;
+    const auto goesFirst = [&](const SlotRequest& a, const SlotRequest& b) {
+        const bool aInTarget = meetsTarget(a, startTime);
+        const bool bInTarget = meetsTarget(b, startTime);
+        if (aInTarget != bInTarget)
+            return aInTarget;
+        if (oldestFirst)
+            return a.arrived < b.arrived;
+        if (a.rank != b.rank)
+            return a.rank < b.rank;
+        return aInTarget ? a.target < b.target : a.deadline < b.deadline;
+    };
+    return std::min_element(waiting.begin(), waiting.end(), goesFirst);
+}
+
+bool DeadlineQueue::willTimeOut(const SlotRequest& request, Instant startTime, Instant now) const
+{
+    const double wait = static_cast<double>((startTime - now).count());
+    const double factor = meetsTarget(request, startTime) ? 1 : m_options.lateWaitFactor;
+    return now + Millis(std::llround(wait * factor)) >= latestStart(request);
+}
+
+// Plays the queue forward as it stands: what is passed over until it is too late is let go now.
+void DeadlineQueue::shedPredictedTimeouts(Instant now)
+{
+    WaitingList remaining = m_waiting;
+    const double interval = startIntervalMillis();
+    double startDelayMillis = m_permits ? (*m_permits ? 0 : m_options.permitWaitFraction * interval) : interval;
+    for (unsigned starts = m_startCount + 1; !remaining.empty();) {
+        const Instant startTime = now + Millis(std::llround(startDelayMillis));
+        const auto next = selectNext(remaining, startTime, starts);
+        if (willTimeOut(*next, startTime, now)) {
+            m_shed.push_back(next->ticket);
+        } else {
+            startDelayMillis += interval;
+            ++starts;
+        }
+        remaining.erase(next);
+    }
+    std::erase_if(m_waiting, [&](const SlotRequest& request) {
+        return std::find(m_shed.begin(), m_shed.end(), request.ticket) != m_shed.end();
+    });
+}
+
+bool DeadlineQueue::withdraw(TicketId ticket)
+{
+    return std::erase_if(m_waiting, [&](const SlotRequest& request) { return request.ticket == ticket; });
+}
+
+void DeadlineQueue::releaseSlot(PriorityClass priority, Millis took, Instant now)
+{
+    if (m_inFlight)
+        --m_inFlight;
+    if (!took.count())
+        return;
+    m_lastProgress = now;
+    double& mean = m_meanMillis[static_cast<size_t>(priority)];
+    const double millis = static_cast<double>(took.count());
+    mean = mean > 0 ? mean + m_options.smoothing * (millis - mean) : millis;
+}
+
+std::optional<TicketId> DeadlineQueue::startNext(Instant now)
+{
+    if (!canStart(now) || m_waiting.empty())
+        return std::nullopt;
+    const auto best = selectNext(m_waiting, now, ++m_startCount);
+    const TicketId ticket = best->ticket;
+    m_waiting.erase(best);
+    recordStart(now);
+    return ticket;
+}
+
+Millis DeadlineQueue::expectedWait(PriorityClass) const
+{
+    if (m_inFlight < m_limit)
+        return Millis(0);
+    return Millis(std::llround(startIntervalMillis() * static_cast<double>(m_waiting.size() + 1)));
+}
+
+}
--- a/packages/decisions/GrantPlan.cpp
+++ b/packages/decisions/GrantPlan.cpp
@@ -265,7 +265,7 @@
 bool GrantPlan::usable(const Servers& servers, const std::string& server) const
 {
     const auto found = servers.find(server);
-    return found != servers.end() && !found->second.withdrawn() && found->second.service == m_service
+    return found != servers.end() && !found->second.draining() && found->second.service == m_service
         && !isSilent(server);
 }
 
--- a/packages/decisions/Resources.cpp
+++ b/packages/decisions/Resources.cpp
@@ -12,9 +12,9 @@
     return best;
 }
 
-bool Resources::wanted(const ServerResource& server) const
+bool Resources::acceptsWork(const ServerResource& server) const
 {
-    return server.wish == ServerWish::Live && !evacuations.count(server.dataCentre);
+    return server.desiredState == DesiredState::Live && !evacuations.count(server.dataCentre);
 }
 
 std::vector<const ServerResource*> Resources::serversOf(std::string_view service) const
--- a/packages/decisions/Resources.h
+++ b/packages/decisions/Resources.h
@@ -47,7 +47,7 @@
     double tolerance = 0.20; // of uneven load: lower means more even and more moves
 };
 
-enum class ServerWish : uint8_t { Live, Leaving };
+enum class DesiredState : uint8_t { Live, Leaving };
 
 struct ServerResource {
     std::string name;
@@ -59,7 +59,7 @@
     unsigned connections = 120; // most connections, over all hosts
     bool checksGrants = false; // refuses dispatches whose grant lapsed or whose fence is old
     Millis coldStart { 0 }; // ramps up to its full share over this time
-    ServerWish wish = ServerWish::Live;
+    DesiredState desiredState = DesiredState::Live;
 };
 
 // A wish for some keys. Pin: only there; Prefer: there if it is up; Avoid: elsewhere if possible.
@@ -83,7 +83,7 @@
     std::set<std::string, std::less<>> evacuations; // data centres whose servers are to get nothing
 
     const ServiceResource* serviceForPath(std::string_view path) const; // longest prefix wins
-    bool wanted(const ServerResource&) const; // it neither leaves nor is evacuated
+    bool acceptsWork(const ServerResource&) const; // it neither leaves nor is evacuated
     std::vector<const ServerResource*> serversOf(std::string_view service) const;
 };
 
--- a/packages/decisions/RetryBudget.cpp
+++ b/packages/decisions/RetryBudget.cpp
@@ -8,7 +8,7 @@
 {
 }
 
-void RetryBudget::firstTry() { m_tokens = std::min(m_options.burst, m_tokens + m_options.ratio); }
+void RetryBudget::deposit() { m_tokens = std::min(m_options.burst, m_tokens + m_options.ratio); }
 
 void RetryBudget::setBurst(double burst)
 {
@@ -16,7 +16,7 @@
     m_tokens = std::min(m_tokens, burst);
 }
 
-bool RetryBudget::spend()
+bool RetryBudget::tryWithdraw()
 {
     if (m_tokens < 1)
         return false;
--- a/packages/decisions/RetryBudget.h
+++ b/packages/decisions/RetryBudget.h
@@ -13,9 +13,9 @@
 class RetryBudget {
 public:
     explicit RetryBudget(RetryBudgetOptions);
-    void firstTry(); // call once a request
+    void deposit(); // call once a request
     void setBurst(double); // what is saved beyond it is lost
-    bool spend(); // true if one more retry is allowed; it is then spent
+    bool tryWithdraw(); // true if one more retry is allowed; it is then spent
 
 private:
     RetryBudgetOptions m_options;
--- a/packages/decisions/RouteRules.cpp
+++ b/packages/decisions/RouteRules.cpp
@@ -4,19 +4,19 @@
 
 namespace {
 
-    std::string placeOf(std::string_view host, std::string_view prefix)
+    std::string routeKey(std::string_view host, std::string_view prefix)
     {
-        std::string place(host);
-        place += prefix;
-        return place;
+        std::string key(host);
+        key += prefix;
+        return key;
     }
 
 }
 
 void RouteRules::add(HostRoute route)
 {
-    std::string place = placeOf(route.host, route.pathPrefix);
-    m_routes.insert_or_assign(std::move(place), std::move(route));
+    std::string key = routeKey(route.host, route.pathPrefix);
+    m_routes.insert_or_assign(std::move(key), std::move(route));
 }
 
 void RouteRules::add(RoutedService service)
@@ -30,7 +30,7 @@
     // Every prefix ends with a slash, so only as many lookups as the path has slashes are needed, whatever the
     // number of routes.
     for (auto slash = path.rfind('/'); slash != std::string_view::npos;) {
-        const auto found = m_routes.find(placeOf(host, path.substr(0, slash + 1)));
+        const auto found = m_routes.find(routeKey(host, path.substr(0, slash + 1)));
         if (found != m_routes.end())
             return &found->second;
         if (!slash)
@@ -46,7 +46,7 @@
     return found == m_services.end() ? nullptr : &found->second;
 }
 
-const std::string& SplitDealer::next(const HostRoute& route)
+const std::string& TrafficSplitter::next(const HostRoute& route)
 {
     if (route.services.size() == 1)
         return route.services.front().service;
@@ -54,15 +54,15 @@
     if (credits.size() != route.services.size())
         credits.assign(route.services.size(), 0);
     int64_t total = 0;
-    size_t best = 0;
+    size_t chosen = 0;
     for (size_t i = 0; i < credits.size(); ++i) {
         credits[i] += route.services[i].weight;
         total += route.services[i].weight;
-        if (credits[i] > credits[best])
-            best = i;
+        if (credits[i] > credits[chosen])
+            chosen = i;
     }
-    credits[best] -= total;
-    return route.services[best].service;
+    credits[chosen] -= total;
+    return route.services[chosen].service;
 }
 
 }
--- a/packages/decisions/RouteRules.h
+++ b/packages/decisions/RouteRules.h
@@ -16,7 +16,7 @@
 namespace cumindale {
 
 // What may be repeated.
-enum class RepeatRule : uint8_t {
+enum class RetryPolicy : uint8_t {
     Idempotent, // may run any number of times
     Download, // as Idempotent, with a large answer
     AtMostOnce, // runs once at most for each request
@@ -32,14 +32,14 @@
     std::string name;
     std::string host; // as in the Host header, without a port
     std::string pathPrefix; // begins and ends with a slash
-    RepeatRule repeat = RepeatRule::AtMostOnce;
+    RetryPolicy retryPolicy = RetryPolicy::AtMostOnce;
     Millis timeout { 1000 }; // longest time that a caller is kept waiting
     Millis target { 500 }; // within which an answer is of full use
     unsigned priority = 0; // rank; 0 goes first
     unsigned maxAttempts = 1; // servers to which one request may be sent
     std::vector<WeightedService> services; // at least one
 
-    bool idempotent() const { return repeat == RepeatRule::Idempotent || repeat == RepeatRule::Download; }
+    bool idempotent() const { return retryPolicy == RetryPolicy::Idempotent || retryPolicy == RetryPolicy::Download; }
 };
 
 struct RoutedService {
@@ -80,7 +80,7 @@
 
 // Deals requests to the parts of a split in proportion to their weights (smooth weighted round robin), so that the
 // shares hold over any few hundred requests and not only on average.
-class SplitDealer {
+class TrafficSplitter {
 public:
     const std::string& next(const HostRoute&);
 
@@ -98,7 +98,7 @@
     unsigned slots = 1; // requests that it works on at once
     bool leaving = false;
     Millis warmupLeft { 0 }; // how much longer it is slow after its start, as of its entry
-    Instant warmAt {}; // the end of that by this host's clock
+    Instant warmupEnd {}; // the end of that by this host's clock
     // Operators want nothing more to reach the servers of its data centre.
     bool evacuated = false;
     // Its entry was gone when this host could read the store again: it has left, or its entry lapsed while the store
@@ -107,8 +107,8 @@
     std::string name {}; // as the server names itself
     int64_t born = 0; // its start, Unix ms; 0: it doesn't say
 
-    bool warmingUp(Instant now) const { return now < warmAt; }
-    bool withdrawn() const { return leaving || evacuated; } // it gets nothing new, and its keys move
+    bool warmingUp(Instant now) const { return now < warmupEnd; }
+    bool draining() const { return leaving || evacuated; } // it gets nothing new, and its keys move
     bool operator==(const RegisteredServer&) const = default;
 };
 
--- a/packages/decisions/SlotQueue.h
+++ b/packages/decisions/SlotQueue.h
@@ -1,7 +1,7 @@
 // Who gets the next slot of one backend server on one host: the interface of the two ways to decide it.
 //
 //     Admission    shares of the server's time between classes (hashed keys)
-//     ValueQueue   what is still of full use to its caller goes first (routes with ranks and targets)
+//     DeadlineQueue   what is still of full use to its caller goes first (routes with ranks and targets)
 #pragma once
 
 #include "base/Time.h"
@@ -42,13 +42,13 @@
 
     // --- Asking for a slot
     enum class Verdict : uint8_t { Started, Queued, Refused };
-    virtual Verdict ask(const SlotRequest&, Instant now) = 0;
+    virtual Verdict requestSlot(const SlotRequest&, Instant now) = 0;
     virtual std::vector<TicketId> takeShed() { return {}; } // waited in vain; call after each ask() and setPermits()
     virtual bool withdraw(TicketId) = 0; // leaves the queue; false if not in it
-    virtual Instant giveUpAt(const SlotRequest&) const = 0; // no longer worth waiting from then on
+    virtual Instant latestStart(const SlotRequest&) const = 0; // no longer worth waiting from then on
 
     // --- Giving a slot back
-    virtual void finished(PriorityClass, Millis took, Instant now) = 0; // 0: it was not used
+    virtual void releaseSlot(PriorityClass, Millis took, Instant now) = 0; // 0: it was not used
     virtual std::optional<TicketId> startNext(Instant now) = 0; // now counted in flight; call until empty
 
     virtual Instant nextStart(Instant) const
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -530,7 +530,7 @@
     std::vector<ServerCapacity> usable;
     const auto known = servers();
     for (const auto& [id, server] : *known) {
-        if (server.service != plan.service() || server.withdrawn() || plan.isSilent(id))
+        if (server.service != plan.service() || server.draining() || plan.isSilent(id))
             continue;
         if (sparesWarmingUp && server.warmingUp(now))
             continue;
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -56,13 +56,13 @@
     {
         // An answer that is of full use only within a second or less is waited for by somebody.
         constexpr Millis patient { 1'000 };
-        switch (route.repeat) {
-        case RepeatRule::AtMostOnce:
+        switch (route.retryPolicy) {
+        case RetryPolicy::AtMostOnce:
             return PriorityClass::Submission;
-        case RepeatRule::Upload:
+        case RetryPolicy::Upload:
             return PriorityClass::Upload;
-        case RepeatRule::Idempotent:
-        case RepeatRule::Download:
+        case RetryPolicy::Idempotent:
+        case RetryPolicy::Download:
             return route.target > patient ? PriorityClass::Background : PriorityClass::Interactive;
         }
         return PriorityClass::Background;
@@ -326,7 +326,7 @@
     // A request without a key may run wherever its key would be: any one does.
     job.key = static_cast<uint32_t>(numberIn(request[m_names.key], randomNumber()) % numberedKeys);
     stripForServer(request);
-    budgetOf(job.service).firstTry();
+    budgetOf(job.service).deposit();
     if (job.keyed)
         m_keyUse[job.service][job.key] += static_cast<uint64_t>(firstWork.count()) * 1000;
     return ErrorKind::None;
@@ -385,7 +385,7 @@
         return !job.waited;
     if (error == ErrorKind::ServerUnreachable)
         return !job.keyed && job.tried.size() < m_byService[job.service].size();
-    if (job.sends >= job.route->maxAttempts || !budgetOf(job.service).spend())
+    if (job.sends >= job.route->maxAttempts || !budgetOf(job.service).tryWithdraw())
         return false;
     m_repeats.add();
     logRequest(job, "request-again", error, job.tried.empty() ? std::string_view() : job.tried.back());
@@ -429,7 +429,7 @@
         return { ErrorKind::ServerAtLimit, nullptr, false, upstream->nextTurn(now) };
     // Its keys move to a server that is warm.
     if (!maySendTo(*upstream, now))
-        return { ErrorKind::WarmingUp, nullptr, anyWarm(job.service, now), upstream->warmAt() };
+        return { ErrorKind::WarmingUp, nullptr, anyWarm(job.service, now), upstream->warmupEnd() };
     return { ErrorKind::None, upstream };
 }
 
@@ -497,7 +497,7 @@
     if (server.awaitsTurn(now))
         return { ErrorKind::ServerAtLimit, server.nextTurn(now) };
     if (!maySendTo(server, now))
-        return { ErrorKind::WarmingUp, server.warmAt() };
+        return { ErrorKind::WarmingUp, server.warmupEnd() };
     return { ErrorKind::None, now };
 }
 
--- a/packages/gateway/Gateway.h
+++ b/packages/gateway/Gateway.h
@@ -125,7 +125,7 @@
     std::map<std::string, std::shared_ptr<Upstream>, std::less<>> m_servers; // by id
     std::map<std::string, std::vector<std::shared_ptr<Upstream>>, std::less<>> m_byService;
     std::map<std::string, RetryBudget, std::less<>> m_budgets; // by service
-    SplitDealer m_splits;
+    TrafficSplitter m_splits;
     std::map<std::string, Millis, std::less<>> m_longestPatience; // of callers, by route
     std::map<std::string, std::unordered_map<uint32_t, uint64_t>> m_keyUse; // busy µs since the last report
     double m_lines = 0; // that may be written at once
--- a/packages/gateway/PlatformView.cpp
+++ b/packages/gateway/PlatformView.cpp
@@ -281,7 +281,7 @@
     // What it said is a little older than its hearing: counted from now, it is taken for warm too late, never too
     // early.
     if (server.warmupLeft > Millis(0))
-        server.warmAt = m_clock.now() + server.warmupLeft;
+        server.warmupEnd = m_clock.now() + server.warmupLeft;
     const auto evacuation = m_evacuations.find(server.dataCentre);
     server.evacuated = evacuation != m_evacuations.end() && evacuation->second.inForce;
     if (entry.id != server.id)
@@ -332,7 +332,7 @@
         // A data centre that comes back is therefore warming up until an entry that is newer says otherwise.
         const RoutedService* service = m_rules ? m_rules->service(server.service) : nullptr;
         if (!evacuated && service && service->warmUp.isSet())
-            server.warmAt = std::max(server.warmAt, now + service->warmUp.lasts);
+            server.warmupEnd = std::max(server.warmupEnd, now + service->warmUp.lasts);
     }
 }
 
--- a/packages/gateway/Upstream.cpp
+++ b/packages/gateway/Upstream.cpp
@@ -1,7 +1,7 @@
 #include "gateway/Upstream.h"
 
 #include "base/Random.h"
-#include "decisions/ValueQueue.h"
+#include "decisions/DeadlineQueue.h"
 
 #include <algorithm>
 #include <limits>
@@ -38,7 +38,8 @@
 Upstream::Upstream(boost::asio::any_io_executor executor, const Clock& clock, const RegisteredServer& registered,
     const RoutedService* service)
     : entry(registered)
-    , pool(std::move(executor), clock, resourceOf(registered, service), {}, std::make_unique<ValueQueue>(), trustIdle)
+    , pool(
+          std::move(executor), clock, resourceOf(registered, service), {}, std::make_unique<DeadlineQueue>(), trustIdle)
     , m_turns(static_cast<double>(randomNumber()) / static_cast<double>(std::numeric_limits<uint64_t>::max()))
 {
 }
--- a/packages/gateway/Upstream.h
+++ b/packages/gateway/Upstream.h
@@ -53,7 +53,7 @@
     bool saysLeaving() const { return m_saysLeavingSince != Instant {}; }
     Instant saysLeavingSince() const { return m_saysLeavingSince; }
     bool leaving() const { return entry.leaving || saysLeaving(); }
-    bool withdrawn() const { return entry.withdrawn() || saysLeaving(); } // it gets nothing new
+    bool withdrawn() const { return entry.draining() || saysLeaving(); } // it gets nothing new
     bool outOfUse() const { return withdrawn() || ended; } // it gets nothing ever more
     // Another server has the work if any can: it leaves, warms up, rests, or is at its limit.
     bool isUnready(Instant now) const { return outOfUse() || warmingUp(now) || wantsRest(now) || isAtLimit(now); }
@@ -64,8 +64,8 @@
     std::optional<PerSecond> namedRate; // in the last answer, as told in the log
 
     // --- Warming up
-    bool warmingUp(Instant now) const { return m_warmUp.isSet() && now < warmAt(); }
-    Instant warmAt() const { return std::max(entry.warmAt, m_heldOffUntil); }
+    bool warmingUp(Instant now) const { return m_warmUp.isSet() && now < warmupEnd(); }
+    Instant warmupEnd() const { return std::max(entry.warmupEnd, m_heldOffUntil); }
     const WarmUpBound& warmUp() const { return m_warmUp; }
     bool hasWarmUpTurn(Instant now) const { return now >= m_nextWarmUpTurn; } // of a host that may send meanwhile
     void takeWarmUpTurn(Instant now) { m_nextWarmUpTurn = now + warmUpPause; }
--- a/packages/resources/ResourceCodec.cpp
+++ b/packages/resources/ResourceCodec.cpp
@@ -94,7 +94,7 @@
         server.checksGrants = reader.flag("checksGrants", false);
         server.coldStart = Millis(reader.number("coldStartMs", 0, longestDeadlineMillis, 0));
         const std::string wish = reader.oneOf("state", { "live", "leaving" }, "live");
-        server.wish = wish == "leaving" ? ServerWish::Leaving : ServerWish::Live;
+        server.desiredState = wish == "leaving" ? DesiredState::Leaving : DesiredState::Live;
         reader.finish();
         return server;
     }
--- a/packages/routing/Router.cpp
+++ b/packages/routing/Router.cpp
@@ -244,7 +244,7 @@
     const ErrorKind fault = prepare(request, job);
     if (fault != ErrorKind::None)
         co_return refusal(fault);
-    m_budgets.at(job.service->name).firstTry();
+    m_budgets.at(job.service->name).deposit();
     CallerResponse response = co_await run(job);
     const int64_t total = m_clock.monotonicMicros() - job.arrivedMicros;
     m_latency.add(static_cast<double>(total));
@@ -282,7 +282,7 @@
     if (error == ErrorKind::NotFresh || error == ErrorKind::Moving || error == ErrorKind::NoOwner
         || error == ErrorKind::ServerUnreachable)
         return true;
-    return job.tries < mostTries && m_budgets.at(job.service->name).spend();
+    return job.tries < mostTries && m_budgets.at(job.service->name).tryWithdraw();
 }
 
 // --- One try
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -17,7 +17,7 @@
 {
     Admission admission({});
     admission.setLimit(1);
-    admission.ask(1, interactive, now, now, farAway);
+    admission.requestSlot(1, interactive, now, now, farAway);
     return admission;
 }
 
@@ -27,9 +27,9 @@
 {
     Admission admission = busyAdmission();
     for (TicketId i = 2; i < 10; ++i)
-        CHECK(admission.ask(i, interactive, now, now, farAway) == Admission::Verdict::Queued);
+        CHECK(admission.requestSlot(i, interactive, now, now, farAway) == Admission::Verdict::Queued);
     CHECK(admission.expectedWait(interactive) >= Millis(45)); // eight ahead of it, 5 ms each
-    CHECK(admission.ask(99, interactive, now, now, now + Millis(20)) == Admission::Verdict::Refused);
+    CHECK(admission.requestSlot(99, interactive, now, now, now + Millis(20)) == Admission::Verdict::Refused);
 }
 
 TEST_CASE("lookups pass archive reads, and archive reads get their share however long the overload lasts")
@@ -38,13 +38,13 @@
     Admission admission = busyAdmission();
     TicketId next = 2;
     for (; next < 102; ++next)
-        CHECK(admission.ask(next, background, now, now, farAway) == Admission::Verdict::Queued);
+        CHECK(admission.requestSlot(next, background, now, now, farAway) == Admission::Verdict::Queued);
     size_t archives = 0;
     size_t lookups = 0;
     size_t archivesBeforeFirstLookup = 0;
     for (int i = 0; i < 700; ++i) {
-        admission.ask(next++ + 1'000'000, interactive, now, now, farAway);
-        admission.finished(interactive, Millis(5));
+        admission.requestSlot(next++ + 1'000'000, interactive, now, now, farAway);
+        admission.releaseSlot(interactive, Millis(5));
         const bool archive = *admission.startNext() < 1'000'000;
         archives += archive;
         lookups += !archive;
@@ -58,9 +58,9 @@
 TEST_CASE("within a class the oldest goes first, also if it asks again")
 {
     Admission admission = busyAdmission();
-    admission.ask(2, interactive, now - Millis(10), now, farAway);
-    admission.ask(3, interactive, now - Millis(90), now, farAway); // was in another queue before
-    admission.finished(interactive, Millis(5));
+    admission.requestSlot(2, interactive, now - Millis(10), now, farAway);
+    admission.requestSlot(3, interactive, now - Millis(90), now, farAway); // was in another queue before
+    admission.releaseSlot(interactive, Millis(5));
     CHECK(*admission.startNext() == 3);
 }
 
@@ -68,17 +68,17 @@
 {
     Admission admission = busyAdmission();
     for (TicketId i = 2; i < 8; ++i)
-        admission.ask(i, interactive, now, now, farAway);
+        admission.requestSlot(i, interactive, now, now, farAway);
     for (int i = 0; i < 5; ++i) {
-        admission.finished(interactive, Millis(5));
+        admission.releaseSlot(interactive, Millis(5));
         admission.startNext();
     }
     for (TicketId i = 100; i < 110; ++i)
-        admission.ask(i, PriorityClass::Submission, now, now, farAway);
-    admission.ask(200, interactive, now, now, farAway);
+        admission.requestSlot(i, PriorityClass::Submission, now, now, farAway);
+    admission.requestSlot(200, interactive, now, now, farAway);
     size_t submissionsInARow = 0;
     for (; submissionsInARow < 10; ++submissionsInARow) {
-        admission.finished(interactive, Millis(5));
+        admission.releaseSlot(interactive, Millis(5));
         if (*admission.startNext() < 100)
             break;
     }
@@ -91,10 +91,10 @@
     // given up: the queue took in all that its length allowed.
     Admission admission = busyAdmission();
     for (TicketId i = 0; i < 100; ++i)
-        CHECK(admission.ask(100 + i, background, now, now, farAway) == Admission::Verdict::Queued);
+        CHECK(admission.requestSlot(100 + i, background, now, now, farAway) == Admission::Verdict::Queued);
     size_t taken = 0;
     for (TicketId i = 0; i < 100; ++i)
-        taken += admission.ask(1000 + i, interactive, now, now, farAway) == Admission::Verdict::Queued;
+        taken += admission.requestSlot(1000 + i, interactive, now, now, farAway) == Admission::Verdict::Queued;
     CHECK(taken == 8); // 50 ms of 5 ms each, in six sevenths of the time
 }
 
@@ -103,12 +103,12 @@
     Admission admission({});
     admission.setLimit(2);
     for (TicketId i = 1; i <= 4; ++i)
-        admission.ask(i, PriorityClass::Submission, now, now, farAway);
+        admission.requestSlot(i, PriorityClass::Submission, now, now, farAway);
     CHECK(admission.inFlight() == 2);
     CHECK(admission.withdraw(3));
     CHECK_FALSE(admission.withdraw(3));
     CHECK_FALSE(admission.startNext().has_value());
-    admission.finished(PriorityClass::Submission, Millis(5));
+    admission.releaseSlot(PriorityClass::Submission, Millis(5));
     CHECK(*admission.startNext() == 4);
     CHECK_FALSE(admission.startNext().has_value());
 }
@@ -118,8 +118,8 @@
     RetryBudget budget({ 0.10, 10 });
     unsigned spent = 0;
     for (int i = 0; i < 1000; ++i) {
-        budget.firstTry();
-        spent += budget.spend();
+        budget.deposit();
+        spent += budget.tryWithdraw();
     }
     CHECK(spent <= 110); // the burst, and a tenth
     CHECK(spent >= 100);
--- a/tests/load_decisions_test.cpp
+++ b/tests/load_decisions_test.cpp
@@ -1,9 +1,9 @@
 // Decisions under load: who gets a slot, how hosts share a server, where keys lie, which server gets a request.
+#include "decisions/DeadlineQueue.h"
 #include "decisions/KeyBalance.h"
 #include "decisions/OfficeRules.h"
 #include "decisions/ServerChoice.h"
 #include "decisions/SlotShares.h"
-#include "decisions/ValueQueue.h"
 
 #include <algorithm>
 #include <deque>
@@ -19,41 +19,41 @@
 
 SlotRequest request(TicketId ticket, Instant arrived, Millis target, Millis deadline, unsigned rank = 1)
 {
-    SlotRequest made;
-    made.ticket = ticket;
-    made.priority = rank ? PriorityClass::Interactive : PriorityClass::Submission;
-    made.rank = rank;
-    made.arrived = arrived;
-    made.target = arrived + target;
-    made.deadline = arrived + deadline;
-    return made;
+    SlotRequest result;
+    result.ticket = ticket;
+    result.priority = rank ? PriorityClass::Interactive : PriorityClass::Submission;
+    result.rank = rank;
+    result.arrived = arrived;
+    result.target = arrived + target;
+    result.deadline = arrived + deadline;
+    return result;
 }
 
-// Replays requests that come every `gap` to one server with `slots` slots, in order of arrival or by value, and counts
-// those that are answered within their target.
+// Replays requests that come every `interval` to one server with `slots` slots, in order of arrival or by value, and
+// counts those that are answered within their target.
 struct Replay {
     size_t inTarget = 0;
     size_t answered = 0;
     size_t refused = 0;
-    Millis longestHeld { 0 }; // until it was refused
+    Millis maxTimeToRefusal { 0 }; // until it was refused
 };
 
-struct Work {
+struct InProgress {
     Instant ends {};
     SlotRequest request;
 };
 
 template <typename Ask, typename Shed, typename Next, typename Done>
-Replay replay(Millis gap, Millis work, size_t requests, Ask ask, Shed shed, Next next, Done done)
+Replay replay(Millis interval, Millis work, size_t requests, Ask ask, Shed shed, Next next, Done done)
 {
     Replay result;
     std::map<TicketId, SlotRequest> waiting;
-    std::vector<Work> working;
-    const auto start = [&](const SlotRequest& one, Instant now) { working.push_back({ now + work, one }); };
+    std::vector<InProgress> inProgress;
+    const auto start = [&](const SlotRequest& one, Instant now) { inProgress.push_back({ now + work, one }); };
     TicketId ticket = 0;
-    const Instant end = begin + gap * static_cast<int64_t>(requests) + Millis(5'000);
+    const Instant end = begin + interval * static_cast<int64_t>(requests) + Millis(5'000);
     for (Instant now = begin; now < end; now += Millis(1)) {
-        std::erase_if(working, [&](const Work& one) {
+        std::erase_if(inProgress, [&](const InProgress& one) {
             if (one.ends > now)
                 return false;
             done(now);
@@ -61,7 +61,7 @@
             result.inTarget += now <= one.request.target;
             return true;
         });
-        if ((now - begin) % gap == Millis(0) && ticket < requests) {
+        if ((now - begin) % interval == Millis(0) && ticket < requests) {
             const SlotRequest one = request(++ticket, now, Millis(400), Millis(1'000));
             const auto verdict = ask(one, now);
             if (verdict == SlotQueue::Verdict::Started)
@@ -70,9 +70,9 @@
                 waiting.emplace(one.ticket, one);
             else
                 ++result.refused;
-            for (const TicketId let : shed()) {
-                result.longestHeld = std::max(result.longestHeld, now - waiting.at(let).arrived);
-                waiting.erase(let);
+            for (const TicketId shedTicket : shed()) {
+                result.maxTimeToRefusal = std::max(result.maxTimeToRefusal, now - waiting.at(shedTicket).arrived);
+                waiting.erase(shedTicket);
                 ++result.refused;
             }
         }
@@ -96,50 +96,50 @@
 // works; in order of arrival each waits until its target has passed, and the slots go to answers of little use.
 TEST_CASE("in a burst the queue by value keeps most of the answers within their target")
 {
-    constexpr Millis gap { 20 };
+    constexpr Millis interval { 20 };
     constexpr Millis work { 120 };
     constexpr unsigned slots = 4; // 33 a second, against 50 that come
     constexpr size_t requests = 500;
 
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(slots);
-    const Replay byValue = replay(
-        gap, work, requests, [&](const SlotRequest& one, Instant now) { return queue.ask(one, now); },
+    const Replay byDeadline = replay(
+        interval, work, requests, [&](const SlotRequest& one, Instant now) { return queue.requestSlot(one, now); },
         [&] { return queue.takeShed(); }, [&](Instant now) { return queue.startNext(now); },
-        [&](Instant now) { queue.finished(PriorityClass::Interactive, work, now); });
+        [&](Instant now) { queue.releaseSlot(PriorityClass::Interactive, work, now); });
 
-    std::deque<TicketId> line;
-    unsigned atWork = 0;
-    const Replay inOrder = replay(
-        gap, work, requests,
+    std::deque<TicketId> fifo;
+    unsigned inFlight = 0;
+    const Replay byArrival = replay(
+        interval, work, requests,
         [&](const SlotRequest& one, Instant) {
-            if (atWork < slots && line.empty()) {
-                ++atWork;
+            if (inFlight < slots && fifo.empty()) {
+                ++inFlight;
                 return SlotQueue::Verdict::Started;
             }
-            line.push_back(one.ticket);
+            fifo.push_back(one.ticket);
             return SlotQueue::Verdict::Queued;
         },
         [] { return std::vector<TicketId>(); },
         [&](Instant) -> std::optional<TicketId> {
-            if (atWork >= slots || line.empty())
+            if (inFlight >= slots || fifo.empty())
                 return std::nullopt;
-            ++atWork;
-            const TicketId first = line.front();
-            line.pop_front();
+            ++inFlight;
+            const TicketId first = fifo.front();
+            fifo.pop_front();
             return first;
         },
-        [&](Instant) { --atWork; });
+        [&](Instant) { --inFlight; });
 
-    MESSAGE("within target: " << byValue.inTarget << " by value, " << inOrder.inTarget << " in order of arrival, of "
-                              << requests);
-    CHECK(byValue.inTarget > 300);
-    CHECK(byValue.inTarget > 4 * inOrder.inTarget);
+    MESSAGE("within target: " << byDeadline.inTarget << " by value, " << byArrival.inTarget
+                              << " in order of arrival, of " << requests);
+    CHECK(byDeadline.inTarget > 300);
+    CHECK(byDeadline.inTarget > 4 * byArrival.inTarget);
     // Hardly anybody is held until the deadline in vain: whoever isn't answered was told at once.
-    CHECK(byValue.answered + byValue.refused > requests * 97 / 100);
-    CHECK(byValue.answered > 330);
-    MESSAGE("longest held before a refusal: " << byValue.longestHeld.count() << " ms");
-    CHECK(byValue.longestHeld < Millis(700)); // of 1,000: some time is left to come back
+    CHECK(byDeadline.answered + byDeadline.refused > requests * 97 / 100);
+    CHECK(byDeadline.answered > 330);
+    MESSAGE("longest held before a refusal: " << byDeadline.maxTimeToRefusal.count() << " ms");
+    CHECK(byDeadline.maxTimeToRefusal < Millis(700)); // of 1,000: some time is left to come back
 }
 
 // What users saw: in a burst lookups were refused after nine tenths of their time, too late to come back. Claims that
@@ -147,64 +147,64 @@
 TEST_CASE("a request that later ones push back too far is refused when that is known")
 {
     constexpr Millis work { 120 };
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(1);
-    REQUIRE(queue.ask(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Started);
-    REQUIRE(queue.ask(request(2, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Queued);
+    REQUIRE(queue.requestSlot(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Started);
+    REQUIRE(queue.requestSlot(request(2, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Queued);
     TicketId ticket = 2;
     const Instant later = begin + Millis(50);
     std::vector<TicketId> shed;
     while (shed.empty() && ticket < 20) {
         const SlotRequest claim = request(++ticket, later, Millis(3'000), Millis(4'000), 0);
-        REQUIRE(queue.ask(claim, later) == SlotQueue::Verdict::Queued);
+        REQUIRE(queue.requestSlot(claim, later) == SlotQueue::Verdict::Queued);
         shed = queue.takeShed();
     }
     CHECK(shed == std::vector<TicketId> { 2 });
     CHECK(ticket > 5); // not before it has to
-    queue.finished(PriorityClass::Interactive, work, later);
+    queue.releaseSlot(PriorityClass::Interactive, work, later);
     CHECK(queue.startNext(later) != TicketId { 2 });
 }
 
 TEST_CASE("a request that the server would not answer in time is refused at once")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(1);
-    CHECK(queue.ask(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Started);
-    queue.finished(PriorityClass::Interactive, Millis(300), begin + Millis(300));
+    CHECK(queue.requestSlot(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Started);
+    queue.releaseSlot(PriorityClass::Interactive, Millis(300), begin + Millis(300));
     const Instant now = begin + Millis(300);
-    CHECK(queue.ask(request(2, now, Millis(400), Millis(1'000)), now) == SlotQueue::Verdict::Started);
-    CHECK(queue.ask(request(3, now, Millis(400), Millis(1'000)), now) == SlotQueue::Verdict::Queued);
-    CHECK(queue.ask(request(4, now, Millis(400), Millis(500)), now) == SlotQueue::Verdict::Refused);
+    CHECK(queue.requestSlot(request(2, now, Millis(400), Millis(1'000)), now) == SlotQueue::Verdict::Started);
+    CHECK(queue.requestSlot(request(3, now, Millis(400), Millis(1'000)), now) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(4, now, Millis(400), Millis(500)), now) == SlotQueue::Verdict::Refused);
 }
 
 // What users saw: every request for one server waited to its deadline. The server hangs once its queue is full and
 // answers nothing on those connections; the host went on sending.
 TEST_CASE("a server that answers nothing for long is asked for nothing more, until it answers")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(1);
-    CHECK(queue.ask(request(1, begin, Millis(400), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
+    CHECK(queue.requestSlot(request(1, begin, Millis(400), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
     const Instant later = begin + Millis(700);
-    CHECK(queue.hanging(later));
-    CHECK(queue.ask(request(2, later, Millis(400), Millis(9'000)), later) == SlotQueue::Verdict::Refused);
-    queue.finished(PriorityClass::Interactive, Millis(700), later);
-    CHECK(queue.ask(request(3, later, Millis(400), Millis(9'000)), later) == SlotQueue::Verdict::Started);
+    CHECK(queue.unresponsive(later));
+    CHECK(queue.requestSlot(request(2, later, Millis(400), Millis(9'000)), later) == SlotQueue::Verdict::Refused);
+    queue.releaseSlot(PriorityClass::Interactive, Millis(700), later);
+    CHECK(queue.requestSlot(request(3, later, Millis(400), Millis(9'000)), later) == SlotQueue::Verdict::Started);
 }
 
 TEST_CASE("the higher rank goes first, and the lower one is not shut out")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(1);
-    CHECK(queue.ask(request(1, begin, Millis(9'000), Millis(9'900)), begin) == SlotQueue::Verdict::Started);
+    CHECK(queue.requestSlot(request(1, begin, Millis(9'000), Millis(9'900)), begin) == SlotQueue::Verdict::Started);
     for (TicketId ticket = 2; ticket < 22; ++ticket) {
         const unsigned rank = ticket % 2;
-        CHECK(
-            queue.ask(request(ticket, begin, Millis(9'000), Millis(9'900), rank), begin) == SlotQueue::Verdict::Queued);
+        CHECK(queue.requestSlot(request(ticket, begin, Millis(9'000), Millis(9'900), rank), begin)
+            == SlotQueue::Verdict::Queued);
     }
     int first = 0;
     int lower = 0;
     for (int i = 0; i < 12; ++i) {
-        queue.finished(PriorityClass::Interactive, Millis(0), begin);
+        queue.releaseSlot(PriorityClass::Interactive, Millis(0), begin);
         const auto ticket = queue.startNext(begin);
         REQUIRE(ticket);
         first += *ticket % 2 == 0;
@@ -217,12 +217,12 @@
 // 67 hosts and a server with 4 slots and a queue of 16: with one request from each host at once it would hang.
 TEST_CASE("a part of a slot lets one request through, then pauses")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(0.25);
-    CHECK(queue.ask(request(1, begin, Millis(4'000), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
-    queue.finished(PriorityClass::Interactive, Millis(100), begin + Millis(100));
+    CHECK(queue.requestSlot(request(1, begin, Millis(4'000), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
+    queue.releaseSlot(PriorityClass::Interactive, Millis(100), begin + Millis(100));
     const Instant now = begin + Millis(100);
-    CHECK(queue.ask(request(2, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(2, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
     CHECK_FALSE(queue.startNext(now));
     CHECK(queue.nextStart(now) == begin + Millis(400)); // 100 ms of work at a quarter of a slot
     CHECK(queue.startNext(begin + Millis(400)) == 2);
@@ -253,34 +253,34 @@
 // 67 hosts and a server with 4 slots and a queue of 16: with one request from each host at once it would hang.
 TEST_CASE("a request for a crowded server waits for a permit, and each permit lets one through")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setPermits(1, Millis(400), begin);
-    CHECK(queue.ask(request(1, begin, Millis(4'000), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
-    queue.finished(PriorityClass::Interactive, Millis(100), begin + Millis(100));
+    CHECK(queue.requestSlot(request(1, begin, Millis(4'000), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
+    queue.releaseSlot(PriorityClass::Interactive, Millis(100), begin + Millis(100));
     const Instant now = begin + Millis(100);
-    CHECK(queue.ask(request(2, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
-    CHECK(queue.ask(request(3, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(2, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(3, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
     CHECK_FALSE(queue.startNext(now));
     CHECK_FALSE(queue.startNext(begin + Millis(5'000))); // nothing starts by the passing of time
     queue.setPermits(1, Millis(400), begin + Millis(400));
     CHECK(queue.startNext(begin + Millis(400)) == 2);
     CHECK_FALSE(queue.startNext(begin + Millis(400)));
     // No longer crowded: the limit counts again.
-    queue.finished(PriorityClass::Interactive, Millis(100), begin + Millis(500));
+    queue.releaseSlot(PriorityClass::Interactive, Millis(100), begin + Millis(500));
     queue.setPermits(std::nullopt, Millis(0), begin);
     CHECK(queue.startNext(begin + Millis(500)) == 3);
 }
 
 TEST_CASE("where permits are rare, one request waits for the next and the others are refused at once")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     constexpr Millis pause { 1'000 };
     queue.setPermits(0, pause, begin);
-    CHECK(queue.ask(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Queued);
-    CHECK(queue.ask(request(2, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Refused);
+    CHECK(queue.requestSlot(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(2, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Refused);
     // The first has missed its target by now: one that can still be in time takes its place.
     const Instant later = begin + Millis(600);
-    CHECK(queue.ask(request(3, later, Millis(400), Millis(1'000)), later) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(3, later, Millis(400), Millis(1'000)), later) == SlotQueue::Verdict::Queued);
     CHECK(queue.takeShed() == std::vector<TicketId> { 1 });
     // When the next permit is hardly worth waiting for, it is told so while it has time left to come back.
     queue.setPermits(0, 2 * pause, later);
@@ -332,9 +332,9 @@
     SlotDemand demand({});
     constexpr unsigned slots = 6;
     constexpr int64_t hosts = 70;
-    constexpr Millis gap { 7'000 / hosts };
+    constexpr Millis interval { 7'000 / hosts };
     Instant now = begin;
-    for (int64_t i = 0; i < 5 * hosts; ++i, now += gap) {
+    for (int64_t i = 0; i < 5 * hosts; ++i, now += interval) {
         demand.report("host-" + std::to_string(i % hosts), { 1, 0, 1, 0 }, now);
         CHECK_FALSE(demand.pressed(slots, now));
     }
@@ -369,10 +369,10 @@
 
 std::vector<ServerCapacity> capacities(size_t servers, double slots)
 {
-    std::vector<ServerCapacity> made;
+    std::vector<ServerCapacity> result;
     for (size_t i = 0; i < servers; ++i)
-        made.push_back({ "server-" + std::to_string(i), slots });
-    return made;
+        result.push_back({ "server-" + std::to_string(i), slots });
+    return result;
 }
 
 double loadOf(const std::vector<KeyRange>& ranges, const KeyLoad& load, std::string_view server)
@@ -466,9 +466,9 @@
     constexpr size_t servers = 18;
     const std::vector<double> speeds { 0.5, 1, 1, 1.5 };
     auto ranges = evenRanges(servers);
-    std::vector<ServerCapacity> servers6;
+    std::vector<ServerCapacity> serverCapacities;
     for (size_t i = 0; i < servers; ++i)
-        servers6.push_back({ "server-" + std::to_string(i), 6 * speeds[i % speeds.size()] });
+        serverCapacities.push_back({ "server-" + std::to_string(i), 6 * speeds[i % speeds.size()] });
     BalanceOptions options;
     options.workMillis = 120;
     KeyLoad load;
@@ -484,11 +484,11 @@
     };
     size_t heavyMoves = 0;
     for (int round = 0; round < 10; ++round) {
-        const auto plan = planBalance(ranges, load, servers6, options);
+        const auto plan = planBalance(ranges, load, serverCapacities, options);
         for (const auto& move : plan)
             heavyMoves += move.heavyKey;
         apply(ranges, plan);
-        const bool atFastest = std::any_of(servers6.begin(), servers6.end(),
+        const bool atFastest = std::any_of(serverCapacities.begin(), serverCapacities.end(),
             [&](const ServerCapacity& server) { return server.id == holderOfHot() && server.slots == 9; });
         CHECK(atFastest);
     }
--- a/tests/resources_test.cpp
+++ b/tests/resources_test.cpp
@@ -104,7 +104,7 @@
     server.name = "a";
     server.dataCentre = "dc-1";
     resources.servers.emplace("a", server);
-    CHECK(resources.wanted(server));
+    CHECK(resources.acceptsWork(server));
     const auto faultOf = [](auto&& check) { return faultIn(check); };
     CHECK_FALSE(faultOf([&] { return checkEvacuation(resources, "dc-1"); }));
     CHECK(faultOf([&] { return checkEvacuation(resources, "dc-2"); }));
@@ -117,5 +117,5 @@
     };
     CHECK(add(R"({"kind":"Evacuation","name":"dc-1","spec":{"until":"tomorrow"}})"));
     CHECK_FALSE(add(R"({"kind":"Evacuation","name":"dc-1","spec":{}})"));
-    CHECK_FALSE(resources.wanted(server));
+    CHECK_FALSE(resources.acceptsWork(server));
 }
--- a/tests/route_rules_test.cpp
+++ b/tests/route_rules_test.cpp
@@ -64,7 +64,7 @@
 {
     HostRoute split = route("x", "/", "r");
     split.services = { { "a", 70 }, { "b", 25 }, { "c", 5 } };
-    SplitDealer dealer;
+    TrafficSplitter dealer;
     std::map<std::string, int> dealt;
     constexpr int requests = 300;
     for (int i = 0; i < requests; ++i)
