--- a/tests/load_decisions_test.cpp
+++ b/tests/load_decisions_test.cpp
@@ -275,8 +275,8 @@
 TEST_CASE("if permits are rare, one request waits for the next permit and the others are refused immediately")
 {
     DeadlineQueue queue;
-    constexpr Millis pause { 1'000 };
-    queue.setPermits(0, pause, begin);
+    constexpr Millis permitInterval { 1'000 };
+    queue.setPermits(0, permitInterval, begin);
     CHECK(queue.requestSlot(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Queued);
     CHECK(queue.requestSlot(request(2, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Refused);
     // The first request has missed its target by now: one that can still meet its target replaces it.
@@ -284,7 +284,7 @@
     CHECK(queue.requestSlot(request(3, later, Millis(400), Millis(1'000)), later) == SlotQueue::Verdict::Queued);
     CHECK(queue.takeShed() == std::vector<TicketId> { 1 });
     // When the next permit will most likely come too late, the request is refused while its caller has time to retry.
-    queue.setPermits(0, 2 * pause, later);
+    queue.setPermits(0, 2 * permitInterval, later);
     CHECK(queue.takeShed() == std::vector<TicketId> { 3 });
 }
 
--- a/tests/overload_model.cpp
+++ b/tests/overload_model.cpp
@@ -34,11 +34,11 @@
         Instant ends {};
     };
 
-    struct ModelHost {
+    struct SimulatedHost {
         DeadlineQueue queue;
         ServerLimit limit;
         std::map<TicketId, SlotRequest> waiting;
-        Millis pause { 300 }; // between two permits, from the last advice
+        Millis permitInterval { 300 }; // between two permits, from the last advice
         bool wasInUse = false; // in the last report
         bool answered = false; // since the last report
         double inFlightMillis = 0;
@@ -56,7 +56,7 @@
         {
             std::uniform_real_distribution<double> unit(0, 1);
             for (size_t i = 0; i < scenario.hosts; ++i) {
-                ModelHost& host = m_hosts.emplace_back();
+                SimulatedHost& host = m_hosts.emplace_back();
                 host.nextReport = begin + Millis(std::llround(unit(m_random) * reportIntervalMillis()));
                 host.lastReport = host.nextReport - Millis(std::llround(reportIntervalMillis()));
                 host.limit.setSharers(scenario.slots, scenario.hosts);
@@ -87,7 +87,7 @@
         Millis minReportInterval() const { return Millis(std::llround(reportIntervalMillis() * earlyReportFraction)); }
 
         // Requests permits and returns free places without delay, subject to the minimum time between two reports.
-        void reportEarly(ModelHost& host, Instant now)
+        void reportEarly(SimulatedHost& host, Instant now)
         {
             if (host.limit.crowded(now))
                 host.nextReport = std::min(host.nextReport, std::max(now, host.lastReport + minReportInterval()));
@@ -100,7 +100,7 @@
             generateRequests(now);
             for (size_t i = 0; i < m_hosts.size(); ++i) {
                 startQueued(i, now);
-                ModelHost& host = m_hosts[i];
+                SimulatedHost& host = m_hosts[i];
                 host.inFlightMillis += host.queue.inFlight();
                 host.waitingMillis += static_cast<double>(host.queue.queued());
                 if (m_policy == LimitPolicy::Shares && now >= host.nextReport)
@@ -190,7 +190,7 @@
 
         void submit(size_t number, Instant now)
         {
-            ModelHost& host = m_hosts[number];
+            SimulatedHost& host = m_hosts[number];
             SlotRequest request;
             request.ticket = ++m_ticket;
             request.priority = priority;
@@ -214,13 +214,13 @@
             countShed(host, now);
         }
 
-        void setPermits(ModelHost& host, unsigned permits, Instant now)
+        void setPermits(SimulatedHost& host, unsigned permits, Instant now)
         {
-            host.queue.setPermits(permits, host.pause, now);
+            host.queue.setPermits(permits, host.permitInterval, now);
             countShed(host, now);
         }
 
-        void countShed(ModelHost& host, Instant now)
+        void countShed(SimulatedHost& host, Instant now)
         {
             for (const TicketId shed : host.queue.takeShed()) {
                 countRefused(host.waiting.at(shed), now);
@@ -234,7 +234,7 @@
             m_refusalMillis += static_cast<double>((now - request.arrived).count());
         }
 
-        void setLimit(ModelHost& host, Instant now)
+        void setLimit(SimulatedHost& host, Instant now)
         {
             host.queue.setLimit(m_policy == LimitPolicy::Fixed ? 1.5 * m_scenario.slots : host.limit.value());
             if (!host.limit.crowded(now))
@@ -243,7 +243,7 @@
 
         void startQueued(size_t number, Instant now)
         {
-            ModelHost& host = m_hosts[number];
+            SimulatedHost& host = m_hosts[number];
             for (auto it = host.waiting.begin(); it != host.waiting.end();) {
                 if (host.queue.latestStart(it->second) > now) {
                     ++it;
@@ -267,7 +267,7 @@
 
         void report(size_t number, Instant now)
         {
-            ModelHost& host = m_hosts[number];
+            SimulatedHost& host = m_hosts[number];
             const auto elapsedMillis = static_cast<double>((now - host.lastReport).count());
             Demand demand;
             demand.inFlight = std::exchange(host.inFlightMillis, 0) / elapsedMillis;
@@ -306,10 +306,10 @@
             if (hostsOverflow(m_scenario.hosts, m_scenario.slots) && m_demand.crowded(m_scenario.slots, now)) {
                 broadcastCrowded(now);
                 const unsigned permits = m_demand.takePermits(name, m_scenario.slots, now);
-                const Millis pause
+                const Millis permitInterval
                     = m_demand.permitPause(m_scenario.slots, static_cast<double>(m_scenario.work.count()), now);
-                schedule(now + reportRoundTrip / 2, [this, number, permits, pause](Instant then) {
-                    m_hosts[number].pause = pause;
+                schedule(now + reportRoundTrip / 2, [this, number, permits, permitInterval](Instant then) {
+                    m_hosts[number].permitInterval = permitInterval;
                     m_hosts[number].limit.setCrowded(then);
                     setPermits(m_hosts[number], permits, then);
                 });
@@ -331,7 +331,7 @@
                 return;
             m_lastCrowdedBroadcast = now;
             schedule(now + broadcastDelay, [this](Instant then) {
-                for (ModelHost& host : m_hosts) {
+                for (SimulatedHost& host : m_hosts) {
                     if (!host.limit.crowded(then))
                         setPermits(host, 0, then);
                     host.limit.setCrowded(then);
@@ -352,7 +352,7 @@
         OverloadScenario m_scenario;
         LimitPolicy m_policy;
         std::mt19937_64 m_random;
-        std::deque<ModelHost> m_hosts;
+        std::deque<SimulatedHost> m_hosts;
         SlotDemand m_demand { {} };
         Instant m_lastCrowdedBroadcast {};
         std::multimap<Instant, std::function<void(Instant)>> m_events;
