--- a/tests/load_decisions_test.cpp
+++ b/tests/load_decisions_test.cpp
@@ -1,9 +1,10 @@
-// Decisions under load: who gets a slot, how hosts share a server, where keys lie, which server gets a request.
+// Decisions under load: which request gets a slot, how hosts share a server, which server owns a key, and which server
+// gets a request.
+#include "decisions/DeadlineQueue.h"
 #include "decisions/KeyBalance.h"
 #include "decisions/OfficeRules.h"
 #include "decisions/ServerChoice.h"
 #include "decisions/SlotShares.h"
-#include "decisions/ValueQueue.h"
 
 #include <algorithm>
 #include <deque>
@@ -19,41 +20,41 @@
 
 SlotRequest request(TicketId ticket, Instant arrived, Millis target, Millis deadline, unsigned rank = 1)
 {
-    SlotRequest made;
-    made.ticket = ticket;
-    made.priority = rank ? PriorityClass::Interactive : PriorityClass::Submission;
-    made.rank = rank;
-    made.arrived = arrived;
-    made.target = arrived + target;
-    made.deadline = arrived + deadline;
-    return made;
+    SlotRequest result;
+    result.ticket = ticket;
+    result.priority = rank ? PriorityClass::Interactive : PriorityClass::Submission;
+    result.rank = rank;
+    result.arrived = arrived;
+    result.target = arrived + target;
+    result.deadline = arrived + deadline;
+    return result;
 }
 
-// Replays requests that come every `gap` to one server with `slots` slots, in order of arrival or by value, and counts
-// those that are answered within their target.
+// Simulates requests that arrive every `interval` at one server, with the given queue, and counts the requests that are
+// answered within their target.
 struct Replay {
     size_t inTarget = 0;
     size_t answered = 0;
     size_t refused = 0;
-    Millis longestHeld { 0 }; // until it was refused
+    Millis maxTimeToRefusal { 0 }; // from arrival to refusal
 };
 
-struct Work {
+struct InProgress {
     Instant ends {};
     SlotRequest request;
 };
 
 template <typename Ask, typename Shed, typename Next, typename Done>
-Replay replay(Millis gap, Millis work, size_t requests, Ask ask, Shed shed, Next next, Done done)
+Replay replay(Millis interval, Millis work, size_t requests, Ask ask, Shed shed, Next next, Done done)
 {
     Replay result;
     std::map<TicketId, SlotRequest> waiting;
-    std::vector<Work> working;
-    const auto start = [&](const SlotRequest& one, Instant now) { working.push_back({ now + work, one }); };
+    std::vector<InProgress> inProgress;
+    const auto start = [&](const SlotRequest& one, Instant now) { inProgress.push_back({ now + work, one }); };
     TicketId ticket = 0;
-    const Instant end = begin + gap * static_cast<int64_t>(requests) + Millis(5'000);
+    const Instant end = begin + interval * static_cast<int64_t>(requests) + Millis(5'000);
     for (Instant now = begin; now < end; now += Millis(1)) {
-        std::erase_if(working, [&](const Work& one) {
+        std::erase_if(inProgress, [&](const InProgress& one) {
             if (one.ends > now)
                 return false;
             done(now);
@@ -61,7 +62,7 @@
             result.inTarget += now <= one.request.target;
             return true;
         });
-        if ((now - begin) % gap == Millis(0) && ticket < requests) {
+        if ((now - begin) % interval == Millis(0) && ticket < requests) {
             const SlotRequest one = request(++ticket, now, Millis(400), Millis(1'000));
             const auto verdict = ask(one, now);
             if (verdict == SlotQueue::Verdict::Started)
@@ -70,16 +71,16 @@
                 waiting.emplace(one.ticket, one);
             else
                 ++result.refused;
-            for (const TicketId let : shed()) {
-                result.longestHeld = std::max(result.longestHeld, now - waiting.at(let).arrived);
-                waiting.erase(let);
+            for (const TicketId shedTicket : shed()) {
+                result.maxTimeToRefusal = std::max(result.maxTimeToRefusal, now - waiting.at(shedTicket).arrived);
+                waiting.erase(shedTicket);
                 ++result.refused;
             }
         }
         while (const auto chosen = next(now)) {
             const SlotRequest one = waiting.at(*chosen);
             waiting.erase(*chosen);
-            // Its caller has gone.
+            // The answer would come after the deadline.
             if (now + work > one.deadline) {
                 done(now);
                 continue;
@@ -92,119 +93,119 @@
 
 }
 
-// What users saw: for the seconds of a burst nearly every lookup came late. Requests come a half faster than the server
-// works; in order of arrival each waits until its target has passed, and the slots go to answers of little use.
-TEST_CASE("in a burst the queue by value keeps most of the answers within their target")
+// Guards against late answers for nearly all lookups during a burst: requests arrive 1.5 times as fast as the server
+// works, and in order of arrival each one waits until its target has passed.
+TEST_CASE("during a burst the deadline queue keeps most of the answers within their target")
 {
-    constexpr Millis gap { 20 };
+    constexpr Millis interval { 20 };
     constexpr Millis work { 120 };
-    constexpr unsigned slots = 4; // 33 a second, against 50 that come
+    constexpr unsigned slots = 4; // 33 requests per second, of 50 that arrive
     constexpr size_t requests = 500;
 
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(slots);
-    const Replay byValue = replay(
-        gap, work, requests, [&](const SlotRequest& one, Instant now) { return queue.ask(one, now); },
+    const Replay byDeadline = replay(
+        interval, work, requests, [&](const SlotRequest& one, Instant now) { return queue.requestSlot(one, now); },
         [&] { return queue.takeShed(); }, [&](Instant now) { return queue.startNext(now); },
-        [&](Instant now) { queue.finished(PriorityClass::Interactive, work, now); });
+        [&](Instant now) { queue.releaseSlot(PriorityClass::Interactive, work, now); });
 
-    std::deque<TicketId> line;
-    unsigned atWork = 0;
-    const Replay inOrder = replay(
-        gap, work, requests,
+    std::deque<TicketId> fifo;
+    unsigned inFlight = 0;
+    const Replay byArrival = replay(
+        interval, work, requests,
         [&](const SlotRequest& one, Instant) {
-            if (atWork < slots && line.empty()) {
-                ++atWork;
+            if (inFlight < slots && fifo.empty()) {
+                ++inFlight;
                 return SlotQueue::Verdict::Started;
             }
-            line.push_back(one.ticket);
+            fifo.push_back(one.ticket);
             return SlotQueue::Verdict::Queued;
         },
         [] { return std::vector<TicketId>(); },
         [&](Instant) -> std::optional<TicketId> {
-            if (atWork >= slots || line.empty())
+            if (inFlight >= slots || fifo.empty())
                 return std::nullopt;
-            ++atWork;
-            const TicketId first = line.front();
-            line.pop_front();
+            ++inFlight;
+            const TicketId first = fifo.front();
+            fifo.pop_front();
             return first;
         },
-        [&](Instant) { --atWork; });
-
-    MESSAGE("within target: " << byValue.inTarget << " by value, " << inOrder.inTarget << " in order of arrival, of "
-                              << requests);
-    CHECK(byValue.inTarget > 300);
-    CHECK(byValue.inTarget > 4 * inOrder.inTarget);
-    // Hardly anybody is held until the deadline in vain: whoever isn't answered was told at once.
-    CHECK(byValue.answered + byValue.refused > requests * 97 / 100);
-    CHECK(byValue.answered > 330);
-    MESSAGE("longest held before a refusal: " << byValue.longestHeld.count() << " ms");
-    CHECK(byValue.longestHeld < Millis(700)); // of 1,000: some time is left to come back
+        [&](Instant) { --inFlight; });
+
+    MESSAGE("within target: " << byDeadline.inTarget << " by deadline, " << byArrival.inTarget
+                              << " in order of arrival, of " << requests);
+    CHECK(byDeadline.inTarget > 300);
+    CHECK(byDeadline.inTarget > 4 * byArrival.inTarget);
+    // Hardly any request waits until its deadline in vain: those that aren't answered are refused early.
+    CHECK(byDeadline.answered + byDeadline.refused > requests * 97 / 100);
+    CHECK(byDeadline.answered > 330);
+    MESSAGE("longest time until a refusal: " << byDeadline.maxTimeToRefusal.count() << " ms");
+    CHECK(byDeadline.maxTimeToRefusal < Millis(700)); // of 1,000 ms: leaves time to retry
 }
 
-// What users saw: in a burst lookups were refused after nine tenths of their time, too late to come back. Claims that
-// came later and went first had pushed them back, and nobody looked at them again.
-TEST_CASE("a request that later ones push back too far is refused when that is known")
+// Guards against refusals that come too late to retry: during a burst, claims that arrived later overtook lookups that
+// were already queued, and without a new estimate these were refused only after nine tenths of their time.
+TEST_CASE("a queued request that later ones delay too far is refused as soon as this is known")
 {
     constexpr Millis work { 120 };
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(1);
-    REQUIRE(queue.ask(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Started);
-    REQUIRE(queue.ask(request(2, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Queued);
+    REQUIRE(queue.requestSlot(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Started);
+    REQUIRE(queue.requestSlot(request(2, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Queued);
     TicketId ticket = 2;
     const Instant later = begin + Millis(50);
     std::vector<TicketId> shed;
     while (shed.empty() && ticket < 20) {
         const SlotRequest claim = request(++ticket, later, Millis(3'000), Millis(4'000), 0);
-        REQUIRE(queue.ask(claim, later) == SlotQueue::Verdict::Queued);
+        REQUIRE(queue.requestSlot(claim, later) == SlotQueue::Verdict::Queued);
         shed = queue.takeShed();
     }
     CHECK(shed == std::vector<TicketId> { 2 });
-    CHECK(ticket > 5); // not before it has to
-    queue.finished(PriorityClass::Interactive, work, later);
+    CHECK(ticket > 5); // not earlier than necessary
+    queue.releaseSlot(PriorityClass::Interactive, work, later);
     CHECK(queue.startNext(later) != TicketId { 2 });
 }
 
-TEST_CASE("a request that the server would not answer in time is refused at once")
+TEST_CASE("a request that the server would not answer in time is refused immediately")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(1);
-    CHECK(queue.ask(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Started);
-    queue.finished(PriorityClass::Interactive, Millis(300), begin + Millis(300));
+    CHECK(queue.requestSlot(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Started);
+    queue.releaseSlot(PriorityClass::Interactive, Millis(300), begin + Millis(300));
     const Instant now = begin + Millis(300);
-    CHECK(queue.ask(request(2, now, Millis(400), Millis(1'000)), now) == SlotQueue::Verdict::Started);
-    CHECK(queue.ask(request(3, now, Millis(400), Millis(1'000)), now) == SlotQueue::Verdict::Queued);
-    CHECK(queue.ask(request(4, now, Millis(400), Millis(500)), now) == SlotQueue::Verdict::Refused);
+    CHECK(queue.requestSlot(request(2, now, Millis(400), Millis(1'000)), now) == SlotQueue::Verdict::Started);
+    CHECK(queue.requestSlot(request(3, now, Millis(400), Millis(1'000)), now) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(4, now, Millis(400), Millis(500)), now) == SlotQueue::Verdict::Refused);
 }
 
-// What users saw: every request for one server waited to its deadline. The server hangs once its queue is full and
-// answers nothing on those connections; the host went on sending.
-TEST_CASE("a server that answers nothing for long is asked for nothing more, until it answers")
+// Guards against requests that all wait until their deadline: a server with a full queue hangs and answers nothing on
+// those connections, and the host keeps sending.
+TEST_CASE("an unresponsive server gets no more requests until it answers")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(1);
-    CHECK(queue.ask(request(1, begin, Millis(400), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
+    CHECK(queue.requestSlot(request(1, begin, Millis(400), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
     const Instant later = begin + Millis(700);
-    CHECK(queue.hanging(later));
-    CHECK(queue.ask(request(2, later, Millis(400), Millis(9'000)), later) == SlotQueue::Verdict::Refused);
-    queue.finished(PriorityClass::Interactive, Millis(700), later);
-    CHECK(queue.ask(request(3, later, Millis(400), Millis(9'000)), later) == SlotQueue::Verdict::Started);
+    CHECK(queue.unresponsive(later));
+    CHECK(queue.requestSlot(request(2, later, Millis(400), Millis(9'000)), later) == SlotQueue::Verdict::Refused);
+    queue.releaseSlot(PriorityClass::Interactive, Millis(700), later);
+    CHECK(queue.requestSlot(request(3, later, Millis(400), Millis(9'000)), later) == SlotQueue::Verdict::Started);
 }
 
-TEST_CASE("the higher rank goes first, and the lower one is not shut out")
+TEST_CASE("the higher rank starts first, and the lower one doesn't starve")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(1);
-    CHECK(queue.ask(request(1, begin, Millis(9'000), Millis(9'900)), begin) == SlotQueue::Verdict::Started);
+    CHECK(queue.requestSlot(request(1, begin, Millis(9'000), Millis(9'900)), begin) == SlotQueue::Verdict::Started);
     for (TicketId ticket = 2; ticket < 22; ++ticket) {
         const unsigned rank = ticket % 2;
-        CHECK(
-            queue.ask(request(ticket, begin, Millis(9'000), Millis(9'900), rank), begin) == SlotQueue::Verdict::Queued);
+        CHECK(queue.requestSlot(request(ticket, begin, Millis(9'000), Millis(9'900), rank), begin)
+            == SlotQueue::Verdict::Queued);
     }
     int first = 0;
     int lower = 0;
     for (int i = 0; i < 12; ++i) {
-        queue.finished(PriorityClass::Interactive, Millis(0), begin);
+        queue.releaseSlot(PriorityClass::Interactive, Millis(0), begin);
         const auto ticket = queue.startNext(begin);
         REQUIRE(ticket);
         first += *ticket % 2 == 0;
@@ -214,21 +215,21 @@
     CHECK(lower == 3);
 }
 
-// 67 hosts and a server with 4 slots and a queue of 16: with one request from each host at once it would hang.
-TEST_CASE("a part of a slot lets one request through, then pauses")
+// With 67 hosts, a server with 4 slots and a queue of 16 would hang if each host sent one request at a time.
+TEST_CASE("with a limit below one slot, requests start one at a time with a delay in between")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setLimit(0.25);
-    CHECK(queue.ask(request(1, begin, Millis(4'000), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
-    queue.finished(PriorityClass::Interactive, Millis(100), begin + Millis(100));
+    CHECK(queue.requestSlot(request(1, begin, Millis(4'000), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
+    queue.releaseSlot(PriorityClass::Interactive, Millis(100), begin + Millis(100));
     const Instant now = begin + Millis(100);
-    CHECK(queue.ask(request(2, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(2, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
     CHECK_FALSE(queue.startNext(now));
     CHECK(queue.nextStart(now) == begin + Millis(400)); // 100 ms of work at a quarter of a slot
     CHECK(queue.startNext(begin + Millis(400)) == 2);
 }
 
-TEST_CASE("shares under pressure follow demand, and their sum stays near the slots")
+TEST_CASE("shares of a server under pressure follow demand, and their sum stays near its slots")
 {
     SlotDemand demand({});
     constexpr unsigned slots = 4;
@@ -250,44 +251,44 @@
     CHECK_FALSE(idle.pressed(slots, begin));
 }
 
-// 67 hosts and a server with 4 slots and a queue of 16: with one request from each host at once it would hang.
-TEST_CASE("a request for a crowded server waits for a permit, and each permit lets one through")
+// With 67 hosts, a server with 4 slots and a queue of 16 would hang if each host sent one request at a time.
+TEST_CASE("a request for a crowded server waits for a permit, and each permit starts one request")
 {
-    ValueQueue queue;
+    DeadlineQueue queue;
     queue.setPermits(1, Millis(400), begin);
-    CHECK(queue.ask(request(1, begin, Millis(4'000), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
-    queue.finished(PriorityClass::Interactive, Millis(100), begin + Millis(100));
+    CHECK(queue.requestSlot(request(1, begin, Millis(4'000), Millis(9'000)), begin) == SlotQueue::Verdict::Started);
+    queue.releaseSlot(PriorityClass::Interactive, Millis(100), begin + Millis(100));
     const Instant now = begin + Millis(100);
-    CHECK(queue.ask(request(2, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
-    CHECK(queue.ask(request(3, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(2, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(3, now, Millis(4'000), Millis(9'000)), now) == SlotQueue::Verdict::Queued);
     CHECK_FALSE(queue.startNext(now));
-    CHECK_FALSE(queue.startNext(begin + Millis(5'000))); // nothing starts by the passing of time
+    CHECK_FALSE(queue.startNext(begin + Millis(5'000))); // time alone starts no request
     queue.setPermits(1, Millis(400), begin + Millis(400));
     CHECK(queue.startNext(begin + Millis(400)) == 2);
     CHECK_FALSE(queue.startNext(begin + Millis(400)));
-    // No longer crowded: the limit counts again.
-    queue.finished(PriorityClass::Interactive, Millis(100), begin + Millis(500));
+    // The server is no longer crowded: the limit applies again.
+    queue.releaseSlot(PriorityClass::Interactive, Millis(100), begin + Millis(500));
     queue.setPermits(std::nullopt, Millis(0), begin);
     CHECK(queue.startNext(begin + Millis(500)) == 3);
 }
 
-TEST_CASE("where permits are rare, one request waits for the next and the others are refused at once")
+TEST_CASE("if permits are rare, one request waits for the next permit and the others are refused immediately")
 {
-    ValueQueue queue;
-    constexpr Millis pause { 1'000 };
-    queue.setPermits(0, pause, begin);
-    CHECK(queue.ask(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Queued);
-    CHECK(queue.ask(request(2, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Refused);
-    // The first has missed its target by now: one that can still be in time takes its place.
+    DeadlineQueue queue;
+    constexpr Millis permitInterval { 1'000 };
+    queue.setPermits(0, permitInterval, begin);
+    CHECK(queue.requestSlot(request(1, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(2, begin, Millis(400), Millis(1'000)), begin) == SlotQueue::Verdict::Refused);
+    // The first request has missed its target by now: one that can still meet its target replaces it.
     const Instant later = begin + Millis(600);
-    CHECK(queue.ask(request(3, later, Millis(400), Millis(1'000)), later) == SlotQueue::Verdict::Queued);
+    CHECK(queue.requestSlot(request(3, later, Millis(400), Millis(1'000)), later) == SlotQueue::Verdict::Queued);
     CHECK(queue.takeShed() == std::vector<TicketId> { 1 });
-    // When the next permit is hardly worth waiting for, it is told so while it has time left to come back.
-    queue.setPermits(0, 2 * pause, later);
+    // When the next permit will most likely come too late, the request is refused while its caller has time to retry.
+    queue.setPermits(0, 2 * permitInterval, later);
     CHECK(queue.takeShed() == std::vector<TicketId> { 3 });
 }
 
-TEST_CASE("what is at a crowded server with what is permitted never exceeds its total")
+TEST_CASE("requests at a crowded server and permits together never exceed its total")
 {
     ShareOptions options;
     SlotDemand demand(options);
@@ -313,8 +314,8 @@
         }
     }
     CHECK(demand.crowded(slots, now));
-    CHECK(sum == total); // and no place is left free
-    // A request ends: its place goes to the next host that asks, and to no other.
+    CHECK(sum == total); // no place is left free
+    // A request ends: its place goes to the next host that reports demand, and to no other.
     --present[0];
     demand.report(name(0), { 1, 0, present[0], 0 }, now);
     CHECK(demand.takePermits(name(0), slots, now) == 0);
@@ -324,24 +325,24 @@
     CHECK(demand.takePermits(name(51), slots, now) == 0);
 }
 
-// What users saw: lookups came late at servers with free slots. 70 hosts sent a server one request each in seven
-// seconds; each said so in one report and left the server out of the next ones. Added up as they had last said, they
-// made the server look pressed, and each host held its next request back.
-TEST_CASE("hosts that leave a server out of their reports have nothing there")
+// Guards against late lookups at servers with free slots: 70 hosts send a server one request each within seven seconds;
+// each host reports the request once and leaves the server out of its next reports. If the last values are kept, their
+// sum makes the server look overloaded, and each host delays its next request.
+TEST_CASE("hosts that leave a server out of their reports count as having no requests there")
 {
     SlotDemand demand({});
     constexpr unsigned slots = 6;
     constexpr int64_t hosts = 70;
-    constexpr Millis gap { 7'000 / hosts };
+    constexpr Millis interval { 7'000 / hosts };
     Instant now = begin;
-    for (int64_t i = 0; i < 5 * hosts; ++i, now += gap) {
+    for (int64_t i = 0; i < 5 * hosts; ++i, now += interval) {
         demand.report("host-" + std::to_string(i % hosts), { 1, 0, 1, 0 }, now);
         CHECK_FALSE(demand.pressed(slots, now));
     }
-    // Ten requests a second of a report's length each: 2.5 at work; 35 where nothing is forgotten.
+    // Ten requests per second, each for one report interval: 2.5 in flight; 35 if no report expired.
     CHECK(demand.inFlight(now) > 2);
     CHECK(demand.inFlight(now) < 4);
-    // Those that do have something there go on counting.
+    // Hosts that keep reporting requests still count.
     for (int64_t i = 0; i < 20; ++i, now += Millis(250)) {
         for (const auto* host : { "host-1", "host-2", "host-3" })
             demand.report(host, { 2, 2, 2, 2 }, now);
@@ -369,10 +370,10 @@
 
 std::vector<ServerCapacity> capacities(size_t servers, double slots)
 {
-    std::vector<ServerCapacity> made;
+    std::vector<ServerCapacity> result;
     for (size_t i = 0; i < servers; ++i)
-        made.push_back({ "server-" + std::to_string(i), slots });
-    return made;
+        result.push_back({ "server-" + std::to_string(i), slots });
+    return result;
 }
 
 double loadOf(const std::vector<KeyRange>& ranges, const KeyLoad& load, std::string_view server)
@@ -383,7 +384,7 @@
     return sum;
 }
 
-// As if each move were done at once.
+// Applies all moves immediately.
 void apply(std::vector<KeyRange>& ranges, const std::vector<BalanceMove>& moves)
 {
     for (const auto& move : moves) {
@@ -414,8 +415,8 @@
 
 }
 
-// 200 neighbouring keys get half of the load: one server would have ten times its share.
-TEST_CASE("a stretch of hot keys is spread over the servers in a few rounds")
+// 200 adjacent keys get half of the load: without moves, one server would have ten times its share.
+TEST_CASE("a range of hot keys is spread over the servers in a few rounds")
 {
     constexpr size_t servers = 20;
     auto ranges = evenRanges(servers);
@@ -436,11 +437,11 @@
     for (size_t i = 0; i < servers; ++i)
         most = std::max(most, loadOf(ranges, load, "server-" + std::to_string(i)));
     const double mean = load.total() / servers;
-    MESSAGE("busiest over mean " << most / mean << " after " << moves << " moves");
+    MESSAGE("busiest server over mean " << most / mean << " after " << moves << " moves");
     CHECK(most / mean < 1.5);
 }
 
-TEST_CASE("one key that is more than a server's share stays, and its neighbours leave it")
+TEST_CASE("a key with more load than a server's share stays, and the adjacent keys move away")
 {
     constexpr size_t servers = 4;
     auto ranges = evenRanges(servers);
@@ -458,21 +459,21 @@
     CHECK(loadOf(ranges, load, "server-0") < 9'000 + 0.35 * (load.total() - 9'000) / servers);
 }
 
-// What users saw: every second lookup of one key was refused for five seconds, while most servers had free slots. The
-// key was asked for 100 times a second, 120 ms of work each: twelve slots' worth, and it lay at a server of half the
-// usual speed, which can do three. Replayed as the balance sees it, before: it stays; the server can do 25 a second.
-TEST_CASE("a key that its server can't keep up with goes to a much faster one, once, and its neighbours leave it")
+// Guards against a hot key that stays on a slow server: with 100 requests per second of 120 ms each the key needs
+// twelve slots, and its server of half the usual speed provides three, or 25 requests per second. Every second lookup
+// of the key was refused for five seconds, while most servers had free slots.
+TEST_CASE("a key that overloads its server moves once, to a much faster one, and the adjacent keys move away")
 {
     constexpr size_t servers = 18;
     const std::vector<double> speeds { 0.5, 1, 1, 1.5 };
     auto ranges = evenRanges(servers);
-    std::vector<ServerCapacity> servers6;
+    std::vector<ServerCapacity> serverCapacities;
     for (size_t i = 0; i < servers; ++i)
-        servers6.push_back({ "server-" + std::to_string(i), 6 * speeds[i % speeds.size()] });
+        serverCapacities.push_back({ "server-" + std::to_string(i), 6 * speeds[i % speeds.size()] });
     BalanceOptions options;
     options.workMillis = 120;
     KeyLoad load;
-    constexpr uint32_t hot = 100; // at server-0, the slowest
+    constexpr uint32_t hot = 100; // on server-0, the slowest
     load.add(hot, 100 * options.requestMillis);
     for (uint32_t key = 0; key < numberedKeys; key += 64)
         load.add(key, 200.0 * options.requestMillis / 1024);
@@ -484,21 +485,21 @@
     };
     size_t heavyMoves = 0;
     for (int round = 0; round < 10; ++round) {
-        const auto plan = planBalance(ranges, load, servers6, options);
+        const auto plan = planBalance(ranges, load, serverCapacities, options);
         for (const auto& move : plan)
             heavyMoves += move.heavyKey;
         apply(ranges, plan);
-        const bool atFastest = std::any_of(servers6.begin(), servers6.end(),
+        const bool atFastest = std::any_of(serverCapacities.begin(), serverCapacities.end(),
             [&](const ServerCapacity& server) { return server.id == holderOfHot() && server.slots == 9; });
         CHECK(atFastest);
     }
     CHECK(heavyMoves == 1);
-    MESSAGE("requests a second that the hot key's server can do: 25 before, 75 after");
+    MESSAGE("capacity of the hot key's server in requests per second: 25 before, 75 after");
     const double others = loadOf(ranges, load, holderOfHot()) - 100 * options.requestMillis;
     CHECK(others < 0.35 * (load.total() - 100 * options.requestMillis) / servers);
 }
 
-TEST_CASE("a server that joins gets keys, also without load")
+TEST_CASE("a new server gets keys even without load")
 {
     auto ranges = evenRanges(4);
     KeyLoad load;
@@ -509,21 +510,21 @@
     CHECK(plan.front().newcomer);
 }
 
-TEST_CASE("few requests, uneven by chance, move nothing")
+TEST_CASE("random imbalance of few requests moves no keys")
 {
     constexpr size_t servers = 14;
     const auto ranges = evenRanges(servers);
     KeyLoad load;
     std::mt19937 random(3);
     std::uniform_int_distribution<uint32_t> anyKey(0, numberedKeys - 1);
-    // 60 requests a second of 100 ms each, remembered for 3 s.
+    // 60 requests per second of 100 ms each, over a window of 3 s.
     for (int i = 0; i < 180; ++i)
         load.add(anyKey(random), 100.0 / 3);
     load.index();
     CHECK(planBalance(ranges, load, capacities(servers, 2), {}).empty());
 }
 
-TEST_CASE("a near server is taken unless it is much busier; one that rests only if all do")
+TEST_CASE("a server in the same data centre is chosen unless it is much busier; a resting one only if all are resting")
 {
     std::vector<ServerCandidate> candidates(3);
     for (auto& candidate : candidates) {
@@ -543,7 +544,7 @@
     CHECK(chooseServer(candidates, 5).has_value());
 }
 
-TEST_CASE("without the store's word half of the hosts decide who goes on")
+TEST_CASE("without the store, half of the hosts decide which coordinator continues")
 {
     OfficeRules former({});
     OfficeRules next({});
@@ -558,7 +559,7 @@
     CHECK(former.mayAct(confirmed, now));
     CHECK_FALSE(former.mayAct(confirmed, begin + Millis(12'100)));
     next.reported("d", now);
-    next.reported("x", now); // not listed: its word counts for nothing
+    next.reported("x", now); // not listed: its report doesn't count
     CHECK_FALSE(next.formerIsAlone());
     next.reported("e", now);
     next.reported("a", now);
