--- a/apps/cumindaled/Host.cpp
+++ b/apps/cumindaled/Host.cpp
@@ -30,8 +30,8 @@
         RouterOptions options;
         options.host = settings.host.name;
         options.keyBytes = settings.limits.keyBytes;
-        options.watch.probeEvery = settings.timing.probe;
-        options.watch.answerWithin = settings.timing.probeTimeout;
+        options.watch.probeInterval = settings.timing.probe;
+        options.watch.probeTimeout = settings.timing.probeTimeout;
         return options;
     }
 
--- a/bench/placement_trace.cpp
+++ b/bench/placement_trace.cpp
@@ -115,7 +115,8 @@
 class Policy {
 public:
     virtual ~Policy() = default;
-    virtual void step(const std::vector<Candidate>&, const Keys&) = 0; // after the keys' counts of a step are known
+    virtual void step(const std::vector<PlacementServer>&, const Keys&)
+        = 0; // after the keys' counts of a step are known
     virtual std::string ownerOf(uint64_t point) const = 0; // empty: nobody
     virtual size_t slices() const { return 0; }
 };
@@ -123,9 +124,9 @@
 // Highest random weight, by slots: -slots / ln(hash).
 class Naive final : public Policy {
 public:
-    void step(const std::vector<Candidate>& servers, const Keys&) override
+    void step(const std::vector<PlacementServer>& servers, const Keys&) override
     {
-        std::vector<std::pair<Candidate, uint64_t>> usable;
+        std::vector<std::pair<PlacementServer, uint64_t>> usable;
         for (const auto& server : servers) {
             if (server.usable)
                 usable.push_back({ server, pointOfKey(server.name) });
@@ -149,7 +150,7 @@
 private:
     std::string heaviest(uint64_t point) const
     {
-        const Candidate* best = nullptr;
+        const PlacementServer* best = nullptr;
         double bestWeight = 0;
         for (const auto& [server, seed] : m_servers) {
             uint64_t mixed = (point ^ seed) * 0x9E3779B97F4A7C15ull;
@@ -166,19 +167,19 @@
         return best ? best->name : std::string();
     }
 
-    std::vector<std::pair<Candidate, uint64_t>> m_servers;
+    std::vector<std::pair<PlacementServer, uint64_t>> m_servers;
     mutable std::unordered_map<uint64_t, std::string> m_owners; // as long as the servers stay the same
 };
 
 class Ours final : public Policy {
 public:
-    void step(const std::vector<Candidate>& servers, const Keys& keys) override
+    void step(const std::vector<PlacementServer>& servers, const Keys& keys) override
     {
         PlacementInput input;
         input.servers = servers;
         m_options.tolerance = absl::GetFlag(FLAGS_tolerance);
         if (m_table.slices.empty())
-            m_table = firstTable("s", input, m_options);
+            m_table = initialTable("s", input, m_options);
         m_now += Millis(stepSeconds * 1000);
         report(keys);
         input.sliceLoad = m_loads.sliceLoad(m_table, m_now);
@@ -229,16 +230,16 @@
     double unavailable = 0; // request-seconds that waited
 };
 
-std::vector<Candidate> serversOf(const Trace& trace)
+std::vector<PlacementServer> serversOf(const Trace& trace)
 {
-    std::vector<Candidate> servers;
+    std::vector<PlacementServer> servers;
     for (size_t i = 0; i < trace.servers; ++i)
         servers.push_back({ "server-" + std::to_string(100'000 + i), "dc-" + std::to_string(i % 3), trace.slots });
     return servers;
 }
 
 // Faults of the trace at one step; true if a loss, for which keys wait longer.
-bool changeServers(const Trace& trace, size_t step, std::vector<Candidate>& servers)
+bool changeServers(const Trace& trace, size_t step, std::vector<PlacementServer>& servers)
 {
     if (trace.rollingRestart) { // each is away for half a minute, one after another
         for (size_t i = 0; i < servers.size(); ++i)
@@ -254,7 +255,7 @@
     return false;
 }
 
-double imbalanceNow(const std::vector<Candidate>& servers, const std::map<std::string, double>& load)
+double imbalanceNow(const std::vector<PlacementServer>& servers, const std::map<std::string, double>& load)
 {
     double slots = 0;
     double total = 0;
@@ -275,7 +276,7 @@
 Measure run(const Trace& trace, Policy& policy)
 {
     Keys keys(trace);
-    std::vector<Candidate> servers = serversOf(trace);
+    std::vector<PlacementServer> servers = serversOf(trace);
     Measure measure;
     std::vector<std::string> owners(keys.size());
     std::vector<uint64_t> points(keys.size());
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -24,7 +24,7 @@
 using apache::thrift::protocol::TCompactProtocol;
 using apache::thrift::transport::TMemoryBuffer;
 
-constexpr size_t slicesPerServer = 20;
+constexpr size_t initialSlicesPerServer = 20;
 
 PlacementInput inputOf(size_t servers)
 {
@@ -37,9 +37,9 @@
 SliceTable tableOf(size_t slices)
 {
     PlacementOptions options;
-    options.slicesPerServer = slicesPerServer;
-    const PlacementInput input = inputOf(std::max<size_t>(1, slices / slicesPerServer));
-    SliceTable table = firstTable("tracing", input, options);
+    options.initialSlicesPerServer = initialSlicesPerServer;
+    const PlacementInput input = inputOf(std::max<size_t>(1, slices / initialSlicesPerServer));
+    SliceTable table = initialTable("tracing", input, options);
     table.version = 1;
     std::mt19937_64 random(1);
     for (const Move& move : planMoves(table, input, options)) {
@@ -118,10 +118,10 @@
 {
     const auto servers = static_cast<size_t>(state.range(0));
     PlacementInput input = inputOf(servers);
-    const SliceTable table = tableOf(servers * slicesPerServer);
+    const SliceTable table = tableOf(servers * initialSlicesPerServer);
     input.sliceLoad = loadsOf(table.slices.size());
     PlacementOptions options;
-    options.slicesPerServer = slicesPerServer;
+    options.initialSlicesPerServer = initialSlicesPerServer;
     for (auto _ : state)
         benchmark::DoNotOptimize(planMoves(table, input, options).size());
 }
@@ -131,7 +131,7 @@
 {
     const auto servers = static_cast<size_t>(state.range(0));
     PlacementInput input = inputOf(servers);
-    const SliceTable table = tableOf(servers * slicesPerServer);
+    const SliceTable table = tableOf(servers * initialSlicesPerServer);
     input.sliceLoad = loadsOf(table.slices.size());
     input.servers[servers / 2].usable = false;
     PlacementOptions options;
@@ -177,7 +177,7 @@
         state.report.adoptedTables["service-" + std::to_string(i)] = 123'456;
     }
     for (size_t i = 0; i < servers; ++i)
-        state.report.sights["server-" + std::to_string(100'000 + i)] = Sight::Reachable;
+        state.report.sights["server-" + std::to_string(100'000 + i)] = Reachability::Reachable;
     return state;
 }
 
--- a/packages/backends/Prober.cpp
+++ b/packages/backends/Prober.cpp
@@ -26,7 +26,7 @@
 }
 
 Prober::Prober(asio::any_io_executor executor, const Clock& clock, std::string host, std::string address, uint16_t port,
-    WatchOptions options, ServerWatch& watch, std::function<void()> changed)
+    MonitorOptions options, ServerMonitor& watch, std::function<void()> changed)
     : m_executor(std::move(executor))
     , m_clock(clock)
     , m_host(std::move(host))
@@ -53,27 +53,27 @@
     call.target = "/health";
     call.headers.emplace_back("Cumindale-Host", m_host);
     const Instant askedAt = m_clock.now();
-    const HttpReply reply = co_await m_client->send(call, m_options.answerWithin);
+    const HttpReply reply = co_await m_client->send(call, m_options.probeTimeout);
     if (m_stopped)
         co_return;
-    const Sight before = m_watch.sight();
-    const bool tookWork = m_watch.takesWork();
-    Millis pause = m_options.probeEvery;
+    const Reachability before = m_watch.reachability();
+    const bool tookWork = m_watch.acceptsNewWork();
+    Millis pause = m_options.probeInterval;
     if (reply.arrived()) {
         m_watch.answered(m_clock.now());
-    } else if (m_clock.now() - askedAt >= m_options.answerWithin) {
+    } else if (m_clock.now() - askedAt >= m_options.probeTimeout) {
         // The next probe goes over a fresh connection: if that answers, only the old one had gone silent.
         m_watch.probeMissed(m_clock.now());
         pause = Millis(0);
     } else {
-        const bool refused = co_await refusesConnections(m_address, m_port, m_options.answerWithin);
+        const bool refused = co_await refusesConnections(m_address, m_port, m_options.probeTimeout);
         if (m_stopped)
             co_return;
         if (refused)
             m_watch.refused(m_clock.now());
         pause = afterRefusal;
     }
-    if (m_watch.sight() != before || m_watch.takesWork() != tookWork)
+    if (m_watch.reachability() != before || m_watch.acceptsNewWork() != tookWork)
         m_changed();
     co_await sleepFor(pause);
 }
--- a/packages/backends/Prober.h
+++ b/packages/backends/Prober.h
@@ -1,4 +1,4 @@
-// Asks one backend server for its health, again and again, and feeds a ServerWatch.
+// Asks one backend server for its health, again and again, and feeds a ServerMonitor.
 //
 // Only whether an answer comes counts; what it says lags or misleads.
 #pragma once
@@ -18,7 +18,7 @@
     // `changed` is called after each probe that changed what the watch says. The watch may outlive nothing: call
     // stop() before it goes.
     Prober(boost::asio::any_io_executor, const Clock&, std::string host, std::string address, uint16_t port,
-        WatchOptions, ServerWatch&, std::function<void()> changed);
+        MonitorOptions, ServerMonitor&, std::function<void()> changed);
     void start();
     void stop() { m_stopped = true; }
 
@@ -31,8 +31,8 @@
     std::string m_host; // this host's name, told with each probe
     std::string m_address;
     uint16_t m_port;
-    WatchOptions m_options;
-    ServerWatch& m_watch;
+    MonitorOptions m_options;
+    ServerMonitor& m_watch;
     std::function<void()> m_changed;
     std::unique_ptr<HttpClient> m_client;
     bool m_stopped = false;
--- a/packages/backends/ServerPool.cpp
+++ b/packages/backends/ServerPool.cpp
@@ -123,7 +123,7 @@
 
 // --- Slots
 
-ServerPool::ServerPool(asio::any_io_executor executor, const Clock& clock, ServerResource server, WatchOptions watch,
+ServerPool::ServerPool(asio::any_io_executor executor, const Clock& clock, ServerResource server, MonitorOptions watch,
     std::unique_ptr<SlotQueue> admission, Millis trustIdle)
     : m_executor(std::move(executor))
     , m_clock(clock)
--- a/packages/backends/ServerPool.h
+++ b/packages/backends/ServerPool.h
@@ -61,7 +61,7 @@
 
 class ServerPool {
 public:
-    ServerPool(boost::asio::any_io_executor, const Clock&, ServerResource, WatchOptions, // with an Admission
+    ServerPool(boost::asio::any_io_executor, const Clock&, ServerResource, MonitorOptions, // with an Admission
         std::unique_ptr<SlotQueue> = std::make_unique<Admission>(AdmissionOptions {}),
         Millis trustIdle
         = Millis(1'000)); // a non-idempotent request goes only over a connection that answered so lately
@@ -70,8 +70,8 @@
     void update(const ServerResource&, size_t hosts); // new settings, and how many hosts share the server
     void setLimit(double); // requests at once from this host, where it is not an even share
     void setPermits(std::optional<unsigned>, Millis pause); // see SlotQueue
-    ServerWatch& watch() { return m_watch; }
-    const ServerWatch& watch() const { return m_watch; }
+    ServerMonitor& watch() { return m_watch; }
+    const ServerMonitor& watch() const { return m_watch; }
 
     // --- Slots. `admit` waits for one in the queue.
     enum class Admitted : uint8_t { Yes, Refused, TimedOut, Evicted };
@@ -102,7 +102,7 @@
     boost::asio::any_io_executor m_executor;
     const Clock& m_clock;
     ServerResource m_server;
-    ServerWatch m_watch;
+    ServerMonitor m_watch;
     std::unique_ptr<SlotQueue> m_admission;
     Millis m_trustIdle;
     std::unordered_map<TicketId, Waiting*> m_waiting;
--- a/packages/control/AssignerDriver.cpp
+++ b/packages/control/AssignerDriver.cpp
@@ -37,9 +37,10 @@
         return { { key, value } };
     }
 
-    Wish resolve(const PlacementResource& placement)
+    PlacementConstraint resolve(const PlacementResource& placement)
     {
-        Wish wish { placement.rule, placement.keys.empty(), {}, placement.servers, placement.dataCentres };
+        PlacementConstraint wish { placement.rule, placement.keys.empty(), {}, placement.servers,
+            placement.dataCentres };
         for (const auto& key : placement.keys)
             wish.points.push_back(pointOfKey(key));
         std::sort(wish.points.begin(), wish.points.end());
@@ -204,7 +205,7 @@
         if (speaks && sight != report.sights.end())
             observations.push_back({ host, sight->second });
     }
-    return isLost(*m_view.roster(), observations);
+    return isServerLost(*m_view.roster(), observations);
 }
 
 double AssignerDriver::warmth(const ServerResource& server, bool usable, Instant now)
@@ -233,7 +234,7 @@
     }
     for (const auto& [name, placement] : resources->placements) {
         if (placement.service == service.name)
-            view.placement.wishes.push_back(resolve(placement));
+            view.placement.constraints.push_back(resolve(placement));
     }
     // A move for evenness alone must not leave keys waiting for a host that has just died.
     for (const auto& member : m_view.roster()->members)
--- a/packages/control/Control.cpp
+++ b/packages/control/Control.cpp
@@ -241,7 +241,7 @@
     const HostReports reports = m_mesh.reports(now);
     std::map<std::string, std::vector<Member>> relays;
     for (const auto& [server, sight] : reports.at(m_settings.host.name).sights) {
-        if (sight == Sight::Reachable || sight == Sight::Unknown)
+        if (sight == Reachability::Reachable || sight == Reachability::Unknown)
             continue;
         for (const auto& member : m_view.roster()->members) {
             const auto report = reports.find(member.name);
@@ -249,7 +249,7 @@
             if (!heard || member.state != MemberState::Member || report == reports.end())
                 continue;
             const auto theirs = report->second.sights.find(server);
-            if (theirs != report->second.sights.end() && theirs->second == Sight::Reachable)
+            if (theirs != report->second.sights.end() && theirs->second == Reachability::Reachable)
                 relays[server].push_back(member);
         }
     }
--- a/packages/decisions/Assigner.cpp
+++ b/packages/decisions/Assigner.cpp
@@ -18,7 +18,7 @@
 {
     SliceTable draft = current;
     if (!current.version)
-        draft = firstTable(view.service->name, view.placement, m_options.placement);
+        draft = initialTable(view.service->name, view.placement, m_options.placement);
     draft.version = current.version + 1;
 
     observeGates(current, roster, reports, now);
--- a/packages/decisions/ChangeHistory.cpp
+++ b/packages/decisions/ChangeHistory.cpp
@@ -25,26 +25,26 @@
     }
     for (const auto& change : changes) {
         ItemChange& kept = m_changes.emplace_back(change);
-        if (kept.value.size() > m_options.largeValue) {
+        if (kept.value.size() > m_options.maxValueBytes) {
             kept.leftOutBytes = kept.value.size();
             kept.value = {};
         }
         m_bytes += sizeOf(kept);
     }
     m_last = last;
-    while (m_bytes > m_options.mostBytes) {
+    while (m_bytes > m_options.maxBytes) {
         m_begin = m_changes.front().revision;
         m_bytes -= sizeOf(m_changes.front());
         m_changes.pop_front();
     }
 }
 
-std::optional<std::vector<ItemChange>> ChangeHistory::since(int64_t known) const
+std::optional<std::vector<ItemChange>> ChangeHistory::changesSince(int64_t knownRevision) const
 {
-    if (known < m_begin)
+    if (knownRevision < m_begin)
         return std::nullopt;
     const auto first = std::partition_point(
-        m_changes.begin(), m_changes.end(), [&](const ItemChange& change) { return change.revision <= known; });
+        m_changes.begin(), m_changes.end(), [&](const ItemChange& change) { return change.revision <= knownRevision; });
     return std::vector<ItemChange>(first, m_changes.end());
 }
 
--- a/packages/decisions/ChangeHistory.h
+++ b/packages/decisions/ChangeHistory.h
@@ -29,10 +29,10 @@
     // Two documents of some thousand routes, deflated, or a thousand changes of servers' entries: minutes of a rolling
     // replacement. A host that is further behind reads the store; the smallest links carry this in a quarter of a
     // second.
-    size_t mostBytes = 262'144;
+    size_t maxBytes = 262'144;
     // A value beyond this is told once and never repeated: whoever missed it reads that one item. An answer with it
     // would take the smallest links more than a tenth of a second, a quarter of what a report waits.
-    size_t largeValue = 131'072;
+    size_t maxValueBytes = 131'072;
 };
 
 class ChangeHistory {
@@ -41,7 +41,8 @@
 
     void add(int64_t after, int64_t last, std::span<const ItemChange>); // all changes after `after`, up to `last`
     int64_t last() const { return m_last; }
-    std::optional<std::vector<ItemChange>> since(int64_t known) const; // nothing: it doesn't reach so far back
+    std::optional<std::vector<ItemChange>> changesSince(
+        int64_t knownRevision) const; // nothing: it doesn't reach so far back
 
 private:
     ChangeHistoryOptions m_options;
--- a/packages/decisions/HotKeys.cpp
+++ b/packages/decisions/HotKeys.cpp
@@ -36,18 +36,18 @@
     insert(point, inherited + weight, inherited);
 }
 
-std::vector<HeavyKey> HotKeys::heaviest(size_t most) const
+std::vector<HeavyKey> HotKeys::heaviest(size_t limit) const
 {
     std::vector<HeavyKey> keys;
     for (const auto& [point, entry] : m_entries)
         keys.push_back({ point, entry.weight, entry.error });
     std::sort(keys.begin(), keys.end(), [](const HeavyKey& a, const HeavyKey& b) {
-        const uint64_t sureA = a.weight - a.error;
-        const uint64_t sureB = b.weight - b.error;
-        return sureA != sureB ? sureA > sureB : a.point < b.point;
+        const uint64_t guaranteedA = a.weight - a.error;
+        const uint64_t guaranteedB = b.weight - b.error;
+        return guaranteedA != guaranteedB ? guaranteedA > guaranteedB : a.point < b.point;
     });
-    if (keys.size() > most)
-        keys.resize(most);
+    if (keys.size() > limit)
+        keys.resize(limit);
     return keys;
 }
 
--- a/packages/decisions/HotKeys.h
+++ b/packages/decisions/HotKeys.h
@@ -23,7 +23,7 @@
 public:
     explicit HotKeys(size_t capacity);
     void add(uint64_t point, uint64_t weight);
-    std::vector<HeavyKey> heaviest(size_t most) const; // surely heavy ones first: by weight - error
+    std::vector<HeavyKey> heaviest(size_t limit) const; // surely heavy ones first: by weight - error
     uint64_t total() const { return m_total; }
     void clear(); // begins a new period
 
--- a/packages/decisions/KeyBalance.cpp
+++ b/packages/decisions/KeyBalance.cpp
@@ -21,7 +21,7 @@
         load *= factor;
 }
 
-void KeyLoad::index()
+void KeyLoad::buildPrefixSums()
 {
     m_sums.assign(numberedKeys + 1, 0);
     if (m_load.empty())
@@ -30,7 +30,7 @@
         m_sums[key + 1] = m_sums[key] + m_load[key];
 }
 
-double KeyLoad::of(uint32_t first, uint32_t last) const
+double KeyLoad::sumOver(uint32_t first, uint32_t last) const
 {
     return m_sums.empty() ? 0 : m_sums[last + 1] - m_sums[first];
 }
@@ -43,23 +43,23 @@
         double load = 0; // ms a second
         uint32_t keys = 0;
 
-        double perSlot() const { return weight / server->slots; }
+        double weightPerSlot() const { return weight / server->slots; }
     };
 
     // The weight of a range: what it asks of a server, scaled so that all keys together weigh as many units as
     // there are slots.
     class Weigher {
     public:
-        Weigher(const KeyLoad& load, double slots, double shareOfSpace)
+        Weigher(const KeyLoad& load, double slots, double keyCountWeight)
             : m_load(load)
-            , m_perMillis(load.total() > 0 ? (1 - shareOfSpace) * slots / load.total() : 0)
-            , m_perKey((load.total() > 0 ? shareOfSpace : 1) * slots / numberedKeys)
+            , m_perMillis(load.total() > 0 ? (1 - keyCountWeight) * slots / load.total() : 0)
+            , m_perKey((load.total() > 0 ? keyCountWeight : 1) * slots / numberedKeys)
         {
         }
 
-        double of(uint32_t first, uint32_t last) const
+        double weightOf(uint32_t first, uint32_t last) const
         {
-            return m_load.of(first, last) * m_perMillis + (last - first + 1) * m_perKey;
+            return m_load.sumOver(first, last) * m_perMillis + (last - first + 1) * m_perKey;
         }
 
     private:
@@ -68,7 +68,7 @@
         double m_perKey;
     };
 
-    struct Cut {
+    struct RangePiece {
         uint32_t first = 0;
         uint32_t last = 0;
         double weight = 0;
@@ -76,33 +76,33 @@
 
     // The piece of a range, from its end or from beside a heavy key, that weighs closest to `wanted` without being
     // more than `most`.
-    Cut cutFrom(const KeyRange& range, const Weigher& weigher, double wanted, double most)
+    RangePiece choosePiece(const KeyRange& range, const Weigher& weigher, double wanted, double maxWeight)
     {
         // Longest prefix of [first, last] that weighs no more than `wanted`, found by bisection.
-        const auto reach = [&](uint32_t first) {
+        const auto longestPrefix = [&](uint32_t first) {
             uint32_t low = first;
             uint32_t high = range.last;
-            if (weigher.of(first, first) > most)
-                return Cut { first, first, 0 }; // a heavy key: not movable
+            if (weigher.weightOf(first, first) > maxWeight)
+                return RangePiece { first, first, 0 }; // a heavy key: not movable
             while (low < high) {
                 const uint32_t middle = low + (high - low + 1) / 2;
-                if (weigher.of(first, middle) <= wanted)
+                if (weigher.weightOf(first, middle) <= wanted)
                     low = middle;
                 else
                     high = middle - 1;
             }
-            return Cut { first, low, weigher.of(first, low) };
+            return RangePiece { first, low, weigher.weightOf(first, low) };
         };
-        Cut best;
+        RangePiece best;
         uint32_t first = range.first;
-        constexpr int mostPieces = 64; // enough for the hot keys of one server; bounds the work
-        for (int pieces = 0; pieces < mostPieces && first <= range.last; ++pieces) {
-            const Cut cut = reach(first);
-            if (cut.weight > best.weight && cut.weight <= most)
-                best = cut;
-            if (cut.last >= range.last)
+        constexpr int maxPieces = 64; // enough for the hot keys of one server; bounds the work
+        for (int pieces = 0; pieces < maxPieces && first <= range.last; ++pieces) {
+            const RangePiece candidate = longestPrefix(first);
+            if (candidate.weight > best.weight && candidate.weight <= maxWeight)
+                best = candidate;
+            if (candidate.last >= range.last)
                 break;
-            first = cut.last + 1;
+            first = candidate.last + 1;
         }
         return best;
     }
@@ -112,21 +112,21 @@
 namespace {
 
     // Leaves only what stays: the piece becomes a range that moves.
-    void cutOut(std::vector<KeyRange>& ranges, size_t index, const Cut& cut, const std::string& to)
+    void splitOffPiece(std::vector<KeyRange>& ranges, size_t index, const RangePiece& split, const std::string& to)
     {
         const KeyRange whole = ranges[index];
         KeyRange piece = whole;
-        piece.first = cut.first;
-        piece.last = cut.last;
+        piece.first = split.first;
+        piece.last = split.last;
         piece.next = to;
         ranges[index] = piece;
         KeyRange rest = whole;
-        rest.last = cut.first - 1;
-        if (whole.first < cut.first)
+        rest.last = split.first - 1;
+        if (whole.first < split.first)
             ranges.push_back(rest);
-        rest.first = cut.last + 1;
+        rest.first = split.last + 1;
         rest.last = whole.last;
-        if (cut.last < whole.last)
+        if (split.last < whole.last)
             ranges.push_back(rest);
     }
 
@@ -145,24 +145,24 @@
         }
 
         // The heaviest key of the range that asks for more than `slots`; nothing: none does.
-        std::optional<uint32_t> in(const KeyRange& range, double slots) const
+        std::optional<uint32_t> heaviestIn(const KeyRange& range, double slots) const
         {
             std::optional<uint32_t> heaviest;
-            if (!asksForMore(m_load.of(range.first, range.last), slots))
+            if (!exceedsCapacity(m_load.sumOver(range.first, range.last), slots))
                 return heaviest;
             for (uint32_t key = range.first; key <= range.last; ++key) {
-                const double load = m_load.key(key);
-                if (asksForMore(load, slots) && (!heaviest || load > m_load.key(*heaviest)))
+                const double load = m_load.loadOf(key);
+                if (exceedsCapacity(load, slots) && (!heaviest || load > m_load.loadOf(*heaviest)))
                     heaviest = key;
             }
             return heaviest;
         }
 
     private:
-        bool asksForMore(double load, double slots) const
+        bool exceedsCapacity(double load, double slots) const
         {
             const double busy = load / m_options.requestMillis * m_options.workMillis / 1000;
-            return busy > m_options.tooHeavy * slots;
+            return busy > m_options.heavyKeyUtilization * slots;
         }
 
         const KeyLoad& m_load;
@@ -173,16 +173,16 @@
     void moveHeavyKeys(std::vector<KeyRange>& ranges, std::map<std::string_view, ServerState>& states,
         const HeavyKeys& heavy, const Weigher& weigher, const BalanceOptions& options, std::vector<BalanceMove>& moves)
     {
-        std::set<std::string_view> taken; // servers that have one: two on one server would be worse
+        std::set<std::string_view> withHeavyKey; // servers that have one: two on one server would be worse
         std::vector<std::pair<size_t, uint32_t>> found; // range, key
         for (size_t i = 0; i < ranges.size(); ++i) {
             const auto holder = states.find(ranges[i].moving() ? ranges[i].next : ranges[i].holder);
             if (holder == states.end())
                 continue;
-            const auto key = heavy.in(ranges[i], holder->second.server->slots);
+            const auto key = heavy.heaviestIn(ranges[i], holder->second.server->slots);
             if (!key)
                 continue;
-            taken.insert(holder->first);
+            withHeavyKey.insert(holder->first);
             if (!ranges[i].moving())
                 found.emplace_back(i, *key);
         }
@@ -190,17 +190,17 @@
             ServerState& from = states.at(ranges[index].holder);
             ServerState* best = nullptr;
             for (auto& [id, state] : states) {
-                const bool free = !taken.count(id);
-                const bool faster = state.server->slots >= options.muchFaster * from.server->slots;
+                const bool free = !withHeavyKey.count(id);
+                const bool faster = state.server->slots >= options.minSpeedup * from.server->slots;
                 if (free && faster && (!best || state.server->slots > best->server->slots))
                     best = &state;
             }
             if (!best)
                 continue;
-            const double weight = weigher.of(key, key);
-            cutOut(ranges, index, { key, key, weight }, best->server->id);
+            const double weight = weigher.weightOf(key, key);
+            splitOffPiece(ranges, index, { key, key, weight }, best->server->id);
             moves.push_back({ key, key, best->server->id, false, true });
-            taken.insert(best->server->id);
+            withHeavyKey.insert(best->server->id);
             from.weight -= weight;
             --from.keys;
             best->weight += weight;
@@ -223,15 +223,15 @@
     }
     if (states.size() < 2)
         return moves;
-    const Weigher weigher(load, slots, options.shareOfSpace);
+    const Weigher weigher(load, slots, options.keyCountWeight);
     size_t moving = 0;
     for (const auto& range : ranges) {
         moving += range.moving();
         const auto found = states.find(range.moving() ? range.next : range.holder);
         if (found == states.end())
             continue;
-        found->second.weight += weigher.of(range.first, range.last);
-        found->second.load += load.of(range.first, range.last);
+        found->second.weight += weigher.weightOf(range.first, range.last);
+        found->second.load += load.sumOver(range.first, range.last);
         found->second.keys += range.size();
     }
 
@@ -241,47 +241,48 @@
     order.reserve(states.size());
     for (auto& [id, state] : states)
         order.push_back(&state);
-    while (moving + moves.size() < options.movesAtOnce) {
+    while (moving + moves.size() < options.maxConcurrentMoves) {
         std::sort(order.begin(), order.end(),
-            [](const ServerState* a, const ServerState* b) { return a->perSlot() < b->perSlot(); });
-        ServerState& low = *order.front();
-        const bool newcomer = !low.keys;
+            [](const ServerState* a, const ServerState* b) { return a->weightPerSlot() < b->weightPerSlot(); });
+        ServerState& target = *order.front();
+        const bool toEmptyServer = !target.keys;
         // The weights are scaled so that the mean is 1 for a slot.
-        const double room = (newcomer ? options.newcomerShare : 1 - low.perSlot()) * low.server->slots;
+        const double room
+            = (toEmptyServer ? options.newServerShare : 1 - target.weightPerSlot()) * target.server->slots;
         if (room <= 0)
             break;
         bool found = false;
         for (auto it = order.rbegin(); it != order.rend() && !found; ++it) {
-            ServerState& high = **it;
-            const double busy = high.load / 1000 / high.server->slots;
-            const double requests = std::max(1.0, high.load * options.rememberedSeconds / options.requestMillis);
-            const double limit = options.tolerance + options.deviations / std::sqrt(requests);
-            const bool overloaded = high.perSlot() > limit && busy > options.busyEnough;
-            if (&high == &low || !(newcomer ? high.perSlot() > low.perSlot() : overloaded))
+            ServerState& source = **it;
+            const double busy = source.load / 1000 / source.server->slots;
+            const double requests = std::max(1.0, source.load * options.loadDecaySeconds / options.requestMillis);
+            const double limit = options.tolerance + options.standardDeviations / std::sqrt(requests);
+            const bool overloaded = source.weightPerSlot() > limit && busy > options.minUtilization;
+            if (&source == &target || !(toEmptyServer ? source.weightPerSlot() > target.weightPerSlot() : overloaded))
                 break;
-            const double surplus = newcomer ? room : (high.perSlot() - 1) * high.server->slots;
+            const double surplus = toEmptyServer ? room : (source.weightPerSlot() - 1) * source.server->slots;
             const double wanted = std::min(surplus, room);
-            Cut best;
+            RangePiece best;
             std::optional<size_t> from;
             for (size_t i = 0; i < ranges.size(); ++i) {
                 const KeyRange& range = ranges[i];
-                if (range.moving() || range.holder != high.server->id)
+                if (range.moving() || range.holder != source.server->id)
                     continue;
-                const Cut cut = cutFrom(range, weigher, wanted, std::max(wanted, room));
-                if (cut.weight > best.weight) {
-                    best = cut;
+                const RangePiece candidate = choosePiece(range, weigher, wanted, std::max(wanted, room));
+                if (candidate.weight > best.weight) {
+                    best = candidate;
                     from = i;
                 }
             }
-            constexpr double worthMoving = 0.1; // of what is wanted
-            if (!from || best.weight < worthMoving * wanted)
+            constexpr double minMoveFraction = 0.1; // of what is wanted
+            if (!from || best.weight < minMoveFraction * wanted)
                 continue;
-            cutOut(ranges, *from, best, low.server->id);
-            moves.push_back({ best.first, best.last, low.server->id, newcomer });
-            high.weight -= best.weight;
-            high.keys -= best.last - best.first + 1;
-            low.weight += best.weight;
-            low.keys += best.last - best.first + 1;
+            splitOffPiece(ranges, *from, best, target.server->id);
+            moves.push_back({ best.first, best.last, target.server->id, toEmptyServer });
+            source.weight -= best.weight;
+            source.keys -= best.last - best.first + 1;
+            target.weight += best.weight;
+            target.keys += best.last - best.first + 1;
             found = true;
         }
         if (!found)
--- a/packages/decisions/KeyBalance.h
+++ b/packages/decisions/KeyBalance.h
@@ -23,10 +23,10 @@
 public:
     void add(uint32_t key, double millis);
     void decay(double factor); // once per interval
-    double of(uint32_t first, uint32_t last) const; // sum over a range; call index() first
+    double sumOver(uint32_t first, uint32_t last) const; // sum over a range; call index() first
     double total() const { return m_sums.empty() ? 0 : m_sums.back(); }
-    void index(); // makes the sums that of() uses
-    double key(uint32_t number) const { return m_load.empty() ? 0 : m_load[number]; }
+    void buildPrefixSums(); // makes the sums that of() uses
+    double loadOf(uint32_t number) const { return m_load.empty() ? 0 : m_load[number]; }
 
 private:
     std::vector<double> m_load; // by key; empty until the first load
@@ -39,19 +39,19 @@
     double tolerance = 1.2;
     // With few requests in the time that is remembered, a server looks overloaded by chance: its load must exceed
     // the tolerance by so many standard deviations of a count of requests (Poisson).
-    double deviations = 2.5;
+    double standardDeviations = 2.5;
     double requestMillis = 100; // one request counts for so much load
-    double rememberedSeconds = 3; // mean life of a load
-    double busyEnough = 0.25; // of its slots; an almost idle server is left alone
+    double loadDecaySeconds = 3; // mean life of a load
+    double minUtilization = 0.25; // of its slots; an almost idle server is left alone
     // For each server, apart from their load: keys without a request lately count a little, so that new servers
     // get a part of the space.
-    double shareOfSpace = 0.15;
-    size_t movesAtOnce = 12; // each is a pause for its keys
-    double newcomerShare = 0.5; // a server without keys gets this part of a fair share at once
+    double keyCountWeight = 0.15;
+    size_t maxConcurrentMoves = 12; // each is a pause for its keys
+    double newServerShare = 0.5; // a server without keys gets this part of a fair share at once
     // A key goes to a faster server once it asks for more than this part of what its own can do, if the other can do so
     // many times as much: speeds are measured to about 10%, and each move is a pause for the key.
-    double tooHeavy = 0.8;
-    double muchFaster = 1.3;
+    double heavyKeyUtilization = 0.8;
+    double minSpeedup = 1.3;
     double workMillis = 100; // of one request at a server of mean speed; a load counts `requestMillis` for each
 };
 
@@ -59,7 +59,7 @@
     uint32_t first = 0;
     uint32_t last = 0;
     std::string to;
-    bool newcomer = false; // to a server that held nothing
+    bool toEmptyServer = false; // to a server that held nothing
     bool heavyKey = false; // a key that its server can't keep up with
 };
 
--- a/packages/decisions/KnownChanges.cpp
+++ b/packages/decisions/KnownChanges.cpp
@@ -8,29 +8,29 @@
 
     // A gap is closed by the next report, a quarter of a second later; until then a few messages come. What exceeds
     // this is forgotten and told again.
-    constexpr size_t mostSpans = 64;
+    constexpr size_t maxSpans = 64;
 
 }
 
-void KnownChanges::completeTo(int64_t revision)
+void KnownChanges::markCompleteUpTo(int64_t revision)
 {
     m_complete = std::max(m_complete, revision);
-    takeUpSpans();
+    mergeSpans();
 }
 
 void KnownChanges::add(int64_t after, int64_t last)
 {
     if (after <= m_complete) {
-        completeTo(last);
+        markCompleteUpTo(last);
         return;
     }
     int64_t& known = m_spans[after];
     known = std::max(known, last);
-    if (m_spans.size() > mostSpans)
+    if (m_spans.size() > maxSpans)
         m_spans.erase(std::prev(m_spans.end()));
 }
 
-void KnownChanges::takeUpSpans()
+void KnownChanges::mergeSpans()
 {
     for (auto span = m_spans.begin(); span != m_spans.end() && span->first <= m_complete; span = m_spans.erase(span))
         m_complete = std::max(m_complete, span->second);
--- a/packages/decisions/KnownChanges.h
+++ b/packages/decisions/KnownChanges.h
@@ -14,11 +14,11 @@
 class KnownChanges {
 public:
     int64_t complete() const { return m_complete; } // every change up to this revision is known
-    void completeTo(int64_t revision);
+    void markCompleteUpTo(int64_t revision);
     void add(int64_t after, int64_t last); // every change after `after` up to `last` is known
 
 private:
-    void takeUpSpans();
+    void mergeSpans();
 
     int64_t m_complete = 0;
     std::map<int64_t, int64_t> m_spans; // after -> last; each begins beyond m_complete
--- a/packages/decisions/Placement.cpp
+++ b/packages/decisions/Placement.cpp
@@ -11,82 +11,85 @@
 
 namespace {
 
-    constexpr double leastCapacity = 0.05; // slots of a server that has just started cold
+    constexpr double minCapacity = 0.05; // slots of a server that has just started cold
 
     // --- Wishes
 
-    bool names(const std::vector<std::string>& list, std::string_view name)
+    bool contains(const std::vector<std::string>& list, std::string_view name)
     {
         return std::find(list.begin(), list.end(), name) != list.end();
     }
 
-    bool wishNames(const Wish& wish, const Candidate& server)
+    bool constraintNames(const PlacementConstraint& constraint, const PlacementServer& server)
     {
-        return names(wish.servers, server.name) || names(wish.dataCentres, server.dataCentre);
+        return contains(constraint.servers, server.name) || contains(constraint.dataCentres, server.dataCentre);
     }
 
     // Wishes are few and slices many: they are resolved once into the slices that they touch.
-    class WishMap {
+    class ConstraintMap {
     public:
-        WishMap(const SliceTable& table, const std::vector<Wish>& wishes)
+        ConstraintMap(const SliceTable& table, const std::vector<PlacementConstraint>& constraints)
         {
-            for (const auto& wish : wishes) {
-                if (wish.wholeService)
-                    m_general.push_back(&wish);
-                for (uint64_t point : wish.points) {
+            for (const auto& constraint : constraints) {
+                if (constraint.wholeService)
+                    m_serviceConstraints.push_back(&constraint);
+                for (uint64_t point : constraint.points) {
                     const size_t slice = table.indexOf(point);
                     if (table.slices[slice].begin == point && table.lastPointOf(slice) == point)
-                        m_ofSlice[slice].push_back(&wish);
+                        m_sliceConstraints[slice].push_back(&constraint);
                 }
             }
         }
 
-        bool legal(size_t slice, const Candidate& server) const
+        bool isAllowed(size_t slice, const PlacementServer& server) const
         {
-            return server.usable && all(slice, [&](const Wish& wish) {
-                return wish.rule != PlacementRule::Pin || wishNames(wish, server);
+            return server.usable && all(slice, [&](const PlacementConstraint& constraint) {
+                return constraint.rule != PlacementRule::Pin || constraintNames(constraint, server);
             });
         }
 
         // Whether a soft wish speaks against the server; such a server is taken only if there is no other.
-        bool unwelcome(size_t slice, const Candidate& server) const
+        bool violatesPreference(size_t slice, const PlacementServer& server) const
         {
-            return !all(slice, [&](const Wish& wish) {
-                if (wish.rule == PlacementRule::Avoid)
-                    return !wishNames(wish, server);
-                return wish.rule != PlacementRule::Prefer || wishNames(wish, server);
+            return !all(slice, [&](const PlacementConstraint& constraint) {
+                if (constraint.rule == PlacementRule::Avoid)
+                    return !constraintNames(constraint, server);
+                return constraint.rule != PlacementRule::Prefer || constraintNames(constraint, server);
             });
         }
 
-        bool touches(size_t slice) const { return !m_general.empty() || m_ofSlice.count(slice); }
+        bool hasConstraints(size_t slice) const
+        {
+            return !m_serviceConstraints.empty() || m_sliceConstraints.count(slice);
+        }
 
     private:
         template <typename Check> bool all(size_t slice, Check&& check) const
         {
-            for (const Wish* wish : m_general) {
-                if (!check(*wish))
+            for (const PlacementConstraint* constraint : m_serviceConstraints) {
+                if (!check(*constraint))
                     return false;
             }
-            const auto found = m_ofSlice.find(slice);
-            if (found == m_ofSlice.end())
+            const auto found = m_sliceConstraints.find(slice);
+            if (found == m_sliceConstraints.end())
                 return true;
-            return std::all_of(
-                found->second.begin(), found->second.end(), [&](const Wish* wish) { return check(*wish); });
+            return std::all_of(found->second.begin(), found->second.end(),
+                [&](const PlacementConstraint* constraint) { return check(*constraint); });
         }
 
-        std::vector<const Wish*> m_general;
-        std::unordered_map<size_t, std::vector<const Wish*>> m_ofSlice;
+        std::vector<const PlacementConstraint*> m_serviceConstraints;
+        std::unordered_map<size_t, std::vector<const PlacementConstraint*>> m_sliceConstraints;
     };
 
     // --- Capacity
 
-    double capacityOf(const Candidate& server)
+    double capacityOf(const PlacementServer& server)
     {
-        return server.usable ? std::max(leastCapacity, server.slots * server.warmth) : 0;
+        return server.usable ? std::max(minCapacity, server.slots * server.warmFraction) : 0;
     }
 
     // The future owner of each slice, as an index into the candidates.
-    std::vector<ServerIndex> futureOwners(const SliceTable& table, const PlacementInput& input)
+    std::vector<ServerIndex> plannedOwners(const SliceTable& table, const PlacementInput& input)
     {
         std::unordered_map<std::string_view, ServerIndex> byName;
         for (size_t i = 0; i < input.servers.size(); ++i)
@@ -122,9 +125,9 @@
     }
 
     // Servers ordered by how full they are.
-    class Fill {
+    class ServerUtilization {
     public:
-        Fill(const std::vector<Candidate>& servers, const std::vector<ServerIndex>& owners,
+        ServerUtilization(const std::vector<PlacementServer>& servers, const std::vector<ServerIndex>& owners,
             const std::vector<double>& weight)
             : m_load(servers.size(), 0)
         {
@@ -162,13 +165,14 @@
     };
 
     // The emptiest legal server; one that a soft wish speaks against only if there is no other.
-    ServerIndex bestFor(size_t slice, const PlacementInput& input, const WishMap& wishes, const Fill& fill)
+    ServerIndex bestServerFor(size_t slice, const PlacementInput& input, const ConstraintMap& constraints,
+        const ServerUtilization& utilization)
     {
         ServerIndex fallback = noServer;
-        for (const auto& [level, server] : fill.order()) {
-            if (!wishes.legal(slice, input.servers[server]))
+        for (const auto& [level, server] : utilization.order()) {
+            if (!constraints.isAllowed(slice, input.servers[server]))
                 continue;
-            if (!wishes.unwelcome(slice, input.servers[server]))
+            if (!constraints.violatesPreference(slice, input.servers[server]))
                 return server;
             if (fallback == noServer)
                 fallback = server;
@@ -183,7 +187,7 @@
 namespace {
 
     // Gives the key at `point` a slice of its own; `load` of its slice's load goes with it.
-    size_t isolate(SliceTable& table, std::vector<double>& loads, uint64_t point, double load)
+    size_t isolateKey(SliceTable& table, std::vector<double>& loads, uint64_t point, double load)
     {
         const size_t before = table.slices.size();
         const size_t holder = table.indexOf(point);
@@ -212,32 +216,32 @@
 size_t splitForPlan(SliceTable& table, PlacementInput& input, const PlacementOptions& options)
 {
     size_t added = 0;
-    for (const auto& wish : input.wishes) {
-        for (uint64_t point : wish.points)
-            added += isolate(table, input.sliceLoad, point, 0);
+    for (const auto& constraint : input.constraints) {
+        for (uint64_t point : constraint.points)
+            added += isolateKey(table, input.sliceLoad, point, 0);
     }
     for (const auto& key : input.hotKeys) {
-        if (table.slices.size() + 2 > options.mostSlices)
+        if (table.slices.size() + 2 > options.maxSlices)
             break;
-        added += isolate(table, input.sliceLoad, key.point, key.load);
+        added += isolateKey(table, input.sliceLoad, key.point, key.load);
     }
     return added;
 }
 
 size_t mergeForPlan(SliceTable& table, PlacementInput& input, const PlacementOptions& options)
 {
-    const size_t base = std::max<size_t>(1, input.servers.size() * options.slicesPerServer);
+    const size_t base = std::max<size_t>(1, input.servers.size() * options.initialSlicesPerServer);
     if (table.slices.size() <= base || input.sliceLoad.size() != table.slices.size())
         return 0;
-    std::set<uint64_t> keptCuts; // of keys that have a slice of their own for a reason
+    std::set<uint64_t> keptBoundaries; // of keys that have a slice of their own for a reason
     const auto keep = [&](uint64_t point) {
-        keptCuts.insert(point);
-        keptCuts.insert(point + 1);
+        keptBoundaries.insert(point);
+        keptBoundaries.insert(point + 1);
     };
     for (const auto& key : input.hotKeys)
         keep(key.point);
-    for (const auto& wish : input.wishes)
-        std::for_each(wish.points.begin(), wish.points.end(), keep);
+    for (const auto& constraint : input.constraints)
+        std::for_each(constraint.points.begin(), constraint.points.end(), keep);
     const double total = std::accumulate(input.sliceLoad.begin(), input.sliceLoad.end(), 0.0);
     const double lightest = total / static_cast<double>(base);
 
@@ -247,10 +251,10 @@
     for (size_t i = 1; i < table.slices.size(); ++i) {
         const Slice& slice = table.slices[i];
         Slice& last = slices.back();
-        const bool alike
+        const bool mergeable
             = slice.owner == last.owner && slice.state == SliceState::Serving && last.state == SliceState::Serving;
         const bool light = loads.back() + input.sliceLoad[i] <= lightest;
-        if (alike && light && !keptCuts.count(slice.begin) && table.slices.size() - removed > base) {
+        if (mergeable && light && !keptBoundaries.count(slice.begin) && table.slices.size() - removed > base) {
             last.fence = std::max(last.fence, slice.fence);
             loads.back() += input.sliceLoad[i];
             ++removed;
@@ -266,11 +270,12 @@
 
 // --- First table
 
-SliceTable firstTable(std::string_view service, const PlacementInput& input, const PlacementOptions& options)
+SliceTable initialTable(std::string_view service, const PlacementInput& input, const PlacementOptions& options)
 {
     SliceTable table;
     table.service = service;
-    const size_t count = std::clamp<size_t>(input.servers.size() * options.slicesPerServer, 1, options.mostSlices);
+    const size_t count
+        = std::clamp<size_t>(input.servers.size() * options.initialSlicesPerServer, 1, options.maxSlices);
     const uint64_t width = UINT64_MAX / count;
     for (size_t i = 0; i < count; ++i) {
         Slice slice;
@@ -285,7 +290,7 @@
 namespace {
 
     // The heaviest slice of a full server whose move helps: it leaves the target emptier than the server was.
-    struct Relief {
+    struct ReliefMove {
         size_t slice = SIZE_MAX;
         ServerIndex to = noServer;
     };
@@ -296,30 +301,31 @@
             : m_table(table)
             , m_input(input)
             , m_options(options)
-            , m_wishes(table, input.wishes)
+            , m_constraints(table, input.constraints)
             , m_weight(weights(table, input))
-            , m_owners(futureOwners(table, input))
-            , m_fill(input.servers, m_owners, m_weight)
+            , m_owners(plannedOwners(table, input))
+            , m_utilization(input.servers, m_owners, m_weight)
         {
         }
 
         std::vector<Move> plan()
         {
-            placeHomeless();
-            if (!m_fill.order().empty())
-                makeEven();
+            placeUnassigned();
+            if (!m_utilization.order().empty())
+                evenOutLoad();
             return std::move(m_moves);
         }
 
     private:
-        bool settled(size_t slice) const
+        bool hasAllowedOwner(size_t slice) const
         {
-            return m_owners[slice] != noServer && m_wishes.legal(slice, m_input.servers[m_owners[slice]]);
+            return m_owners[slice] != noServer && m_constraints.isAllowed(slice, m_input.servers[m_owners[slice]]);
         }
 
-        bool welcome(size_t slice) const
+        bool satisfiesPreferences(size_t slice) const
         {
-            return !m_wishes.touches(slice) || !m_wishes.unwelcome(slice, m_input.servers[m_owners[slice]]);
+            return !m_constraints.hasConstraints(slice)
+                || !m_constraints.violatesPreference(slice, m_input.servers[m_owners[slice]]);
         }
 
         void moveTo(size_t slice, ServerIndex to)
@@ -334,34 +340,37 @@
         {
             if (server == noServer)
                 return;
-            const bool open = m_fill.capacity(server) > 0 && m_open.erase({ m_fill.of(server), server });
-            m_fill.add(server, weight);
-            if (open)
-                m_open.insert({ m_fill.of(server), server });
+            const bool isDonor
+                = m_utilization.capacity(server) > 0 && m_donors.erase({ m_utilization.of(server), server });
+            m_utilization.add(server, weight);
+            if (isDonor)
+                m_donors.insert({ m_utilization.of(server), server });
         }
 
         // Heaviest first, so that the light ones level what the heavy ones left uneven.
-        void placeHomeless()
+        void placeUnassigned()
         {
-            std::vector<size_t> homeless;
+            std::vector<size_t> unplaced;
             for (size_t i = 0; i < m_owners.size(); ++i) {
-                const bool atHome = settled(i) && (welcome(i) || m_table.slices[i].state != SliceState::Serving);
-                if (!atHome)
-                    homeless.push_back(i);
+                const bool wellPlaced
+                    = hasAllowedOwner(i) && (satisfiesPreferences(i) || m_table.slices[i].state != SliceState::Serving);
+                if (!wellPlaced)
+                    unplaced.push_back(i);
             }
             std::stable_sort(
-                homeless.begin(), homeless.end(), [&](size_t a, size_t b) { return m_weight[a] > m_weight[b]; });
-            for (size_t slice : homeless) {
-                const ServerIndex to = bestFor(slice, m_input, m_wishes, m_fill);
+                unplaced.begin(), unplaced.end(), [&](size_t a, size_t b) { return m_weight[a] > m_weight[b]; });
+            for (size_t slice : unplaced) {
+                const ServerIndex to = bestServerFor(slice, m_input, m_constraints, m_utilization);
                 // A soft wish is worth a move only if it comes true; otherwise two unwelcome servers would swap.
-                if (settled(slice) && (to == noServer || m_wishes.unwelcome(slice, m_input.servers[to])))
+                if (hasAllowedOwner(slice)
+                    && (to == noServer || m_constraints.violatesPreference(slice, m_input.servers[to])))
                     continue;
                 if (to != m_owners[slice] || to == noServer)
                     moveTo(slice, to);
             }
         }
 
-        void makeEven()
+        void evenOutLoad()
         {
             std::vector<std::vector<size_t>> slicesOf(m_input.servers.size());
             for (size_t i = 0; i < m_owners.size(); ++i) {
@@ -369,16 +378,16 @@
                     slicesOf[m_owners[i]].push_back(i);
             }
             const double total = std::accumulate(m_weight.begin(), m_weight.end(), 0.0);
-            const double mean = total / m_fill.totalCapacity();
+            const double mean = total / m_utilization.totalCapacity();
             double budget = m_options.churnBudget * total;
-            m_open = m_fill.order();
-            while (budget > 0 && !m_open.empty()) {
-                const auto [level, from] = *m_open.rbegin();
+            m_donors = m_utilization.order();
+            while (budget > 0 && !m_donors.empty()) {
+                const auto [level, from] = *m_donors.rbegin();
                 if (level <= mean * (1 + m_options.tolerance))
                     return;
-                const Relief relief = reliefFor(from, mean, budget, slicesOf[from]);
+                const ReliefMove relief = bestMoveFrom(from, mean, budget, slicesOf[from]);
                 if (relief.slice == SIZE_MAX) {
-                    m_open.erase({ level, from });
+                    m_donors.erase({ level, from });
                     continue;
                 }
                 auto& left = slicesOf[from];
@@ -388,24 +397,24 @@
             }
         }
 
-        Relief reliefFor(ServerIndex from, double mean, double budget, const std::vector<size_t>& slices) const
+        ReliefMove bestMoveFrom(ServerIndex from, double mean, double budget, const std::vector<size_t>& slices) const
         {
-            Relief best;
+            ReliefMove best;
             double bestWeight = 0;
-            const double excess = (m_fill.of(from) - mean) * m_fill.capacity(from);
-            const ServerIndex emptiest = m_fill.order().begin()->second;
+            const double excess = (m_utilization.of(from) - mean) * m_utilization.capacity(from);
+            const ServerIndex leastLoaded = m_utilization.order().begin()->second;
             for (size_t slice : slices) {
                 const double weight = m_weight[slice];
                 // A slice a little heavier than the excess still helps if the target stays below this server.
                 if (weight <= bestWeight || weight > budget || weight > 2 * excess)
                     continue;
-                ServerIndex to = emptiest;
-                if (m_wishes.touches(slice)) {
-                    to = bestFor(slice, m_input, m_wishes, m_fill);
-                    if (to == noServer || m_wishes.unwelcome(slice, m_input.servers[to]))
+                ServerIndex to = leastLoaded;
+                if (m_constraints.hasConstraints(slice)) {
+                    to = bestServerFor(slice, m_input, m_constraints, m_utilization);
+                    if (to == noServer || m_constraints.violatesPreference(slice, m_input.servers[to]))
                         continue;
                 }
-                if (to == from || m_fill.with(to, weight) >= m_fill.of(from))
+                if (to == from || m_utilization.with(to, weight) >= m_utilization.of(from))
                     continue;
                 best = { slice, to };
                 bestWeight = weight;
@@ -416,11 +425,11 @@
         const SliceTable& m_table;
         const PlacementInput& m_input;
         const PlacementOptions& m_options;
-        WishMap m_wishes;
+        ConstraintMap m_constraints;
         std::vector<double> m_weight;
         std::vector<ServerIndex> m_owners;
-        Fill m_fill;
-        std::set<std::pair<double, ServerIndex>> m_open; // servers that may still give something away, emptiest first
+        ServerUtilization m_utilization;
+        std::set<std::pair<double, ServerIndex>> m_donors; // servers that may still give something away, emptiest first
         std::vector<Move> m_moves;
     };
 
@@ -435,13 +444,13 @@
 
 double imbalanceOf(const SliceTable& table, const PlacementInput& input)
 {
-    const auto owners = futureOwners(table, input);
+    const auto owners = plannedOwners(table, input);
     const auto weight = weights(table, input);
-    const Fill fill(input.servers, owners, weight);
+    const ServerUtilization utilization(input.servers, owners, weight);
     const double total = std::accumulate(weight.begin(), weight.end(), 0.0);
-    if (fill.order().empty() || !(total > 0))
+    if (utilization.order().empty() || !(total > 0))
         return 1;
-    return fill.order().rbegin()->first / (total / fill.totalCapacity());
+    return utilization.order().rbegin()->first / (total / utilization.totalCapacity());
 }
 
 }
--- a/packages/decisions/Placement.h
+++ b/packages/decisions/Placement.h
@@ -20,16 +20,16 @@
 namespace cumindale {
 
 // A server as the planner sees it.
-struct Candidate {
+struct PlacementServer {
     std::string name;
     std::string dataCentre;
     unsigned slots = 1;
-    double warmth = 1; // 0..1, share of its slots that a cold server may use yet
+    double warmFraction = 1; // 0..1, share of its slots that a cold server may use yet
     bool usable = true; // live, and neither leaving nor lost
 };
 
 // A placement wish, resolved to points.
-struct Wish {
+struct PlacementConstraint {
     PlacementRule rule = PlacementRule::Prefer;
     bool wholeService = false;
     std::vector<uint64_t> points; // of single keys, sorted; each gets a slice of its own
@@ -44,17 +44,17 @@
 };
 
 struct PlacementOptions {
-    unsigned slicesPerServer = 16; // at the start, and the least kept by merging
+    unsigned initialSlicesPerServer = 16; // at the start, and the least kept by merging
     double tolerance = 0.20; // servers within mean * (1 + tolerance) are left alone
     double churnBudget = 0.02; // most share of all load that one plan moves to make it even
-    size_t mostSlices = 40'000; // no splits beyond
+    size_t maxSlices = 40'000; // no splits beyond
 };
 
 struct PlacementInput {
-    std::vector<Candidate> servers; // sorted by name
+    std::vector<PlacementServer> servers; // sorted by name
     std::vector<double> sliceLoad; // beside the table's slices; empty if not known
     std::vector<HotKey> hotKeys; // hottest first
-    std::vector<Wish> wishes;
+    std::vector<PlacementConstraint> constraints;
 };
 
 // Splits for hot keys and wishes: cuts the working table so that each such key has a slice of its own. Loads
@@ -68,7 +68,7 @@
 size_t mergeForPlan(SliceTable&, PlacementInput&, const PlacementOptions&);
 
 // The table of a service that has none: equal slices, dealt out by slots.
-SliceTable firstTable(std::string_view service, const PlacementInput&, const PlacementOptions&);
+SliceTable initialTable(std::string_view service, const PlacementInput&, const PlacementOptions&);
 
 struct Move {
     size_t slice = 0;
--- a/packages/decisions/RateLimit.cpp
+++ b/packages/decisions/RateLimit.cpp
@@ -144,7 +144,7 @@
     return found != m_servers.end() && found->second.permits.hasSpare(now);
 }
 
-Millis RateLedger::permitPause(std::string_view server, size_t hosts) const
+Millis RateLedger::permitInterval(std::string_view server, size_t hosts) const
 {
     const auto limit = limitOf(server);
     return limit ? secondsToMillis(static_cast<double>(std::max<size_t>(1, hosts)) / *limit) : Millis(0);
--- a/packages/decisions/RateLimit.h
+++ b/packages/decisions/RateLimit.h
@@ -110,7 +110,7 @@
     unsigned takePermits(std::string_view server, unsigned wanted, Instant now);
     bool hasSpare(std::string_view server, Instant now) const; // permits that nobody asked for lately, some at least
     // Between two permits for one of so many hosts.
-    Millis permitPause(std::string_view server, size_t hosts) const;
+    Millis permitInterval(std::string_view server, size_t hosts) const;
 
 private:
     struct State {
--- a/packages/decisions/RelayPlan.cpp
+++ b/packages/decisions/RelayPlan.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    bool relaysBefore(const RelayCandidate* a, const RelayCandidate* b)
+    bool isBetterRelay(const RelayCandidate* a, const RelayCandidate* b)
     {
         if (a->mayRelay != b->mayRelay)
             return a->mayRelay;
@@ -18,10 +18,11 @@
     void planDataCentre(
         std::span<const RelayCandidate* const> hosts, const RelayOptions& options, std::vector<RelayGroup>& groups)
     {
-        const auto able = static_cast<size_t>(
+        const auto eligible = static_cast<size_t>(
             std::count_if(hosts.begin(), hosts.end(), [](const RelayCandidate* host) { return host->mayRelay; }));
-        const size_t wanted = (hosts.size() + options.mostMembers - 1) / options.mostMembers;
-        const size_t relays = hosts.size() < options.fewestMembers || able < wanted ? hosts.size() : wanted;
+        const size_t groupsNeeded = (hosts.size() + options.maxGroupSize - 1) / options.maxGroupSize;
+        const size_t relays
+            = hosts.size() < options.minGroupSize || eligible < groupsNeeded ? hosts.size() : groupsNeeded;
         const size_t firstGroup = groups.size();
         for (size_t i = 0; i < hosts.size(); ++i) {
             if (i < relays)
@@ -31,12 +32,15 @@
         }
     }
 
-    constexpr Millis smallMessage { 300 }; // hosts are a few ms apart; a lost packet is sent again after 0.2 s
+    constexpr Millis baseDeliveryTimeout { 300 }; // hosts are a few ms apart; a lost packet is sent again after 0.2 s
     constexpr size_t bytesPerMillisecond = 1'000; // four fifths of the smallest link of a host, 10 Mbit/s
 
 }
 
-Millis deliveryTime(size_t bytes) { return smallMessage + Millis(static_cast<int64_t>(bytes / bytesPerMillisecond)); }
+Millis deliveryTimeout(size_t bytes)
+{
+    return baseDeliveryTimeout + Millis(static_cast<int64_t>(bytes / bytesPerMillisecond));
+}
 
 std::vector<RelayGroup> planRelays(std::span<const RelayCandidate> candidates, const RelayOptions& options)
 {
@@ -45,7 +49,7 @@
         byDataCentre[candidate.dataCentre].push_back(&candidate);
     std::vector<RelayGroup> groups;
     for (auto& [dataCentre, hosts] : byDataCentre) {
-        std::sort(hosts.begin(), hosts.end(), relaysBefore);
+        std::sort(hosts.begin(), hosts.end(), isBetterRelay);
         planDataCentre(hosts, options, groups);
     }
     return groups;
--- a/packages/decisions/RelayPlan.h
+++ b/packages/decisions/RelayPlan.h
@@ -17,8 +17,8 @@
 struct RelayOptions {
     // Members of one group, the relay included: about the root of the hosts of today's largest deployment, so that the
     // coordinator sends about as many copies as a relay does.
-    size_t mostMembers = 12;
-    size_t fewestMembers = 4; // fewer than that are told directly: a relay would save little and can be lost
+    size_t maxGroupSize = 12;
+    size_t minGroupSize = 4; // fewer than that are told directly: a relay would save little and can be lost
 };
 
 struct RelayCandidate {
@@ -39,6 +39,6 @@
 
 // How long a message of so many bytes may take to its receiver. Given up sooner, a large document never reaches a host
 // behind a small link: each try is cut in its midst, and the host reads the store as well.
-Millis deliveryTime(size_t bytes);
+Millis deliveryTimeout(size_t bytes);
 
 }
--- a/packages/decisions/RouteRules.h
+++ b/packages/decisions/RouteRules.h
@@ -47,7 +47,7 @@
     std::string healthPath;
     unsigned connections = 120; // most for each server, over all hosts
     bool keyed = false; // divided by key: a server runs a request only while it was granted the request's key
-    WarmUpBound warmUp {};
+    WarmUpLimit warmUp {};
 };
 
 // What a caller may send and how long it may take.
--- a/packages/decisions/ServerChoice.cpp
+++ b/packages/decisions/ServerChoice.cpp
@@ -4,13 +4,13 @@
 
 namespace cumindale {
 
-std::optional<size_t> chooseServer(std::span<const ServerCandidate> candidates, uint64_t random, double farFactor)
+std::optional<size_t> chooseServer(std::span<const ServerCandidate> candidates, uint64_t random, double remoteFactor)
 {
     if (candidates.empty())
         return std::nullopt;
     std::optional<size_t> best;
     double bestTime = 0;
-    bool bestRests = false;
+    bool bestResting = false;
     const size_t start = random % candidates.size();
     for (size_t i = 0; i < candidates.size(); ++i) {
         const size_t index = (start + i) % candidates.size();
@@ -19,15 +19,15 @@
             continue;
         const double ahead = static_cast<double>(candidate.busy + candidate.waiting) / std::max(1U, candidate.limit);
         double time = std::max(1.0, candidate.workMillis) * (1 + ahead);
-        if (!candidate.sameCentre)
-            time *= farFactor;
+        if (!candidate.sameDataCentre)
+            time *= remoteFactor;
         const bool better
-            = !best || (bestRests && !candidate.resting) || (bestRests == candidate.resting && time < bestTime);
+            = !best || (bestResting && !candidate.resting) || (bestResting == candidate.resting && time < bestTime);
         if (!better)
             continue;
         best = index;
         bestTime = time;
-        bestRests = candidate.resting;
+        bestResting = candidate.resting;
     }
     return best;
 }
--- a/packages/decisions/ServerChoice.h
+++ b/packages/decisions/ServerChoice.h
@@ -10,7 +10,7 @@
 struct ServerCandidate {
     bool usable = true; // not leaving, not tried yet for this request
     bool resting = false; // failed lately; gets work only if all others do, too
-    bool sameCentre = true;
+    bool sameDataCentre = true;
     unsigned busy = 0; // requests of this host there
     unsigned waiting = 0; // requests of this host that wait for it
     unsigned limit = 1; // requests that this host may have there
@@ -19,6 +19,6 @@
 
 // The one with the shortest time to an answer, by what this host sees; a server in another data centre counts as
 // `farFactor` slower, as its bytes cost more. `random` breaks ties, so that hosts don't all pick the same one.
-std::optional<size_t> chooseServer(std::span<const ServerCandidate>, uint64_t random, double farFactor = 1.3);
+std::optional<size_t> chooseServer(std::span<const ServerCandidate>, uint64_t random, double remoteFactor = 1.3);
 
 }
--- a/packages/decisions/ServerHealth.cpp
+++ b/packages/decisions/ServerHealth.cpp
@@ -5,60 +5,61 @@
 
 namespace cumindale {
 
-ServerWatch::ServerWatch(WatchOptions options)
+ServerMonitor::ServerMonitor(MonitorOptions options)
     : m_options(options)
 {
 }
 
-void ServerWatch::answered(Instant now)
+void ServerMonitor::answered(Instant now)
 {
     m_misses = 0;
     m_refusals = 0;
-    m_sight = Sight::Reachable;
+    m_reachability = Reachability::Reachable;
     m_lastAnswer = now;
 }
 
-void ServerWatch::probeMissed(Instant)
+void ServerMonitor::probeMissed(Instant)
 {
     m_refusals = 0;
-    if (++m_misses >= m_options.missesUntilSilent)
-        m_sight = Sight::Silent;
+    if (++m_misses >= m_options.missesUntilUnresponsive)
+        m_reachability = Reachability::Unresponsive;
 }
 
-void ServerWatch::refused(Instant)
+void ServerMonitor::refused(Instant)
 {
     if (++m_refusals >= m_options.refusalsUntilRefused)
-        m_sight = Sight::Refused;
+        m_reachability = Reachability::Refused;
 }
 
-bool ServerWatch::takesWork() const
+bool ServerMonitor::acceptsNewWork() const
 {
     // Not after the first missed probe already: what is sent to a server that turns out to be frozen must be
     // waited for until its deadline before the keys may move.
-    const bool reachable = m_sight == Sight::Reachable || m_sight == Sight::Unknown;
+    const bool reachable = m_reachability == Reachability::Reachable || m_reachability == Reachability::Unknown;
     return reachable && !m_misses && !m_refusals;
 }
 
-bool isLost(const Roster& roster, const std::vector<Observation>& observations)
+bool isServerLost(const Roster& roster, const std::vector<Observation>& observations)
 {
-    size_t opinions = 0;
-    size_t blind = 0;
+    size_t observers = 0;
+    size_t unreachable = 0;
     std::set<std::string_view> centres;
-    std::set<std::string_view> blindCentres;
+    std::set<std::string_view> unreachableCentres;
     for (const auto& observation : observations) {
         const Member* member = roster.find(observation.host);
-        if (!member || member->state != MemberState::Member || observation.sight == Sight::Unknown)
+        if (!member || member->state != MemberState::Member || observation.reachability == Reachability::Unknown)
             continue;
-        ++opinions;
+        ++observers;
         centres.insert(member->dataCentre);
-        if (observation.sight == Sight::Reachable)
+        if (observation.reachability == Reachability::Reachable)
             continue;
-        ++blind;
-        blindCentres.insert(member->dataCentre);
+        ++unreachable;
+        unreachableCentres.insert(member->dataCentre);
     }
-    const bool enoughHosts = blind * 2 > opinions && blind >= std::min<size_t>(2, roster.countingMembers());
-    const bool enoughCentres = blindCentres.size() >= std::min<size_t>(2, centres.size());
-    return blind && enoughHosts && enoughCentres;
+    const bool enoughHosts
+        = unreachable * 2 > observers && unreachable >= std::min<size_t>(2, roster.countingMembers());
+    const bool enoughCentres = unreachableCentres.size() >= std::min<size_t>(2, centres.size());
+    return unreachable && enoughHosts && enoughCentres;
 }
 
 }
--- a/packages/decisions/ServerHealth.h
+++ b/packages/decisions/ServerHealth.h
@@ -16,34 +16,34 @@
 
 namespace cumindale {
 
-enum class Sight : uint8_t {
+enum class Reachability : uint8_t {
     Unknown, // not observed yet
     Reachable, // answered lately
-    Silent, // accepts nothing or answers nothing: may be frozen, and may come back with old work
+    Unresponsive, // accepts nothing or answers nothing: may be frozen, and may come back with old work
     Refused, // connections are refused: no process listens there, so its work is gone
 };
 
-struct WatchOptions {
-    Millis probeEvery { 200 };
-    Millis answerWithin { 300 }; // a probe without an answer for this long is missed
-    unsigned missesUntilSilent = 2;
+struct MonitorOptions {
+    Millis probeInterval { 200 };
+    Millis probeTimeout { 300 }; // a probe without an answer for this long is missed
+    unsigned missesUntilUnresponsive = 2;
     unsigned refusalsUntilRefused = 2; // a server that restarts quickly refuses once
 };
 
 // One host's view of one server. Fed by probes; any answer to a dispatch counts as well.
-class ServerWatch {
+class ServerMonitor {
 public:
-    explicit ServerWatch(WatchOptions);
+    explicit ServerMonitor(MonitorOptions);
     void answered(Instant);
     void probeMissed(Instant);
     void refused(Instant);
-    Sight sight() const { return m_sight; }
-    bool takesWork() const; // whether this host should send it new work
+    Reachability reachability() const { return m_reachability; }
+    bool acceptsNewWork() const; // whether this host should send it new work
     Instant lastAnswer() const { return m_lastAnswer; }
 
 private:
-    WatchOptions m_options;
-    Sight m_sight = Sight::Unknown;
+    MonitorOptions m_options;
+    Reachability m_reachability = Reachability::Unknown;
     unsigned m_misses = 0;
     unsigned m_refusals = 0;
     Instant m_lastAnswer {};
@@ -52,11 +52,11 @@
 // What one host sees of a server.
 struct Observation {
     std::string_view host;
-    Sight sight = Sight::Unknown;
+    Reachability reachability = Reachability::Unknown;
 };
 
 // Lost: a majority of the hosts that have an opinion, at least two of them where there are two, and in at least
 // two data centres where those hosts stand in two, can't reach it.
-bool isLost(const Roster&, const std::vector<Observation>&);
+bool isServerLost(const Roster&, const std::vector<Observation>&);
 
 }
--- a/packages/decisions/ServerLimit.cpp
+++ b/packages/decisions/ServerLimit.cpp
@@ -4,7 +4,7 @@
 
 namespace cumindale {
 
-void ServerLimit::setSharers(unsigned slots, size_t hosts)
+void ServerLimit::setSlotsAndHosts(unsigned slots, size_t hosts)
 {
     m_slots = std::max(1U, slots);
     m_hosts = hosts;
@@ -18,23 +18,23 @@
 
 void ServerLimit::setCrowded(Instant now)
 {
-    m_crowdedUntil = now + m_options.crowdedFor;
+    m_crowdedUntil = now + m_options.crowdedTimeout;
     m_share.reset();
 }
 
-void ServerLimit::setRoom()
+void ServerLimit::setUnrestricted()
 {
     m_share.reset();
     m_crowdedUntil = {};
 }
 
-void ServerLimit::dropShare() { m_share.reset(); }
+void ServerLimit::clearShare() { m_share.reset(); }
 
 double ServerLimit::value() const
 {
     if (m_share)
         return *m_share;
-    return hostsOverflow(m_hosts, m_slots) ? 1 : std::max(1.0, m_options.withRoom * m_slots);
+    return hostsExceedQueue(m_hosts, m_slots) ? 1 : std::max(1.0, m_options.unsharedPerSlot * m_slots);
 }
 
 }
--- a/packages/decisions/ServerLimit.h
+++ b/packages/decisions/ServerLimit.h
@@ -23,18 +23,19 @@
 namespace cumindale {
 
 struct ServerLimitOptions {
-    double withRoom = 1.5; // of the slots, while the server has room: its queue takes what several hosts send at once
+    double unsharedPerSlot
+        = 1.5; // of the slots, while the server has room: its queue takes what several hosts send at once
     // A crowd is believed so long without being told again. Reports are at most a second apart, and one may be lost.
-    Millis crowdedFor { 2'000 };
+    Millis crowdedTimeout { 2'000 };
 };
 
 // Requests that a server queues for each of its slots, at least: servers don't tell.
-constexpr double queuedPerSlot = 3;
+constexpr double minQueuePerSlot = 3;
 
 // One request from each host is more than the server takes.
-constexpr bool hostsOverflow(size_t hosts, unsigned slots)
+constexpr bool hostsExceedQueue(size_t hosts, unsigned slots)
 {
-    return static_cast<double>(hosts) > (1 + queuedPerSlot) * slots;
+    return static_cast<double>(hosts) > (1 + minQueuePerSlot) * slots;
 }
 
 class ServerLimit {
@@ -45,13 +46,13 @@
     }
 
     // `hosts` that send to the server; 0: not known yet.
-    void setSharers(unsigned slots, size_t hosts);
+    void setSlotsAndHosts(unsigned slots, size_t hosts);
 
     // --- Told by the coordinator
     void setShare(double);
     void setCrowded(Instant now);
-    void setRoom(); // neither pressed nor crowded
-    void dropShare(); // the answer to a report leaves it out
+    void setUnrestricted(); // neither pressed nor crowded
+    void clearShare(); // the answer to a report leaves it out
 
     bool crowded(Instant now) const { return now < m_crowdedUntil; } // nothing without a permit
     double value() const; // requests there at once, while it is not crowded
--- a/packages/decisions/SlotShares.cpp
+++ b/packages/decisions/SlotShares.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-    constexpr double onTime = 0.5; // of a report's interval: one that comes a little late was not left out
-    constexpr double leastWeight = 0.01; // of what a host said; below, it is forgotten
-    constexpr int presentReports = 2; // what a host said of the moment holds for so many intervals
+    constexpr double lateReportTolerance = 0.5; // of a report's interval: one that comes a little late was not left out
+    constexpr double minWeight = 0.01; // of what a host said; below, it is forgotten
+    constexpr int currentForReports = 2; // what a host said of the moment holds for so many intervals
     constexpr int answeringReports = 4; // a server that no host had an answer of for so many intervals may hang
 
 }
@@ -27,16 +27,17 @@
     known.overdue = std::min(demand.overdue, demand.present);
     known.waitingNow = demand.waitingNow;
     known.permits = 0;
-    known.heard = now;
+    known.lastReportAt = now;
     if (demand.answered)
-        m_answered = now;
+        m_lastAnswerAt = now;
     m_totalsAt = Instant::min();
 }
 
 double SlotDemand::weightOf(const Host& host, Instant now) const
 {
-    const auto intervals = static_cast<double>((now - host.heard).count()) / static_cast<double>(m_reportEvery.count());
-    const double missed = std::floor(std::max(0.0, intervals - onTime));
+    const auto intervals
+        = static_cast<double>((now - host.lastReportAt).count()) / static_cast<double>(m_reportInterval.count());
+    const double missed = std::floor(std::max(0.0, intervals - lateReportTolerance));
     return missed > 0 ? std::pow(1 - m_options.smoothing, missed) : 1;
 }
 
@@ -47,13 +48,13 @@
         return m_totals;
     m_totalsAt = now;
     m_totals = {};
-    std::erase_if(m_hosts, [&](const auto& entry) { return weightOf(entry.second, now) < leastWeight; });
-    const bool answers = now - m_answered <= m_reportEvery * answeringReports;
+    std::erase_if(m_hosts, [&](const auto& entry) { return weightOf(entry.second, now) < minWeight; });
+    const bool answers = now - m_lastAnswerAt <= m_reportInterval * answeringReports;
     for (const auto& [name, host] : m_hosts) {
         const double weight = weightOf(host, now);
         m_totals.wanted += host.wanted * weight;
         m_totals.inFlight += host.inFlight * weight;
-        if (now - host.heard > m_reportEvery * presentReports)
+        if (now - host.lastReportAt > m_reportInterval * currentForReports)
             continue;
         m_totals.present += host.present + host.permits - (answers ? host.overdue : 0);
         m_totals.waitingNow += host.waitingNow;
@@ -73,16 +74,19 @@
 
 double SlotDemand::inFlight(Instant now) { return totals(now).inFlight; }
 
-bool SlotDemand::pressed(unsigned slots, Instant now) { return totals(now).wanted > m_options.pressedFrom * slots; }
+bool SlotDemand::underPressure(unsigned slots, Instant now)
+{
+    return totals(now).wanted > m_options.pressureThreshold * slots;
+}
 
 double SlotDemand::shareOf(std::string_view host, unsigned slots, size_t hosts, Instant now)
 {
     const double all = totals(now).wanted;
-    const double total = m_options.perSlot * slots;
+    const double total = m_options.targetPerSlot * slots;
     const auto mine = m_hosts.find(host);
     const double part = mine == m_hosts.end() || all <= 0 ? 0 : mine->second.wanted * weightOf(mine->second, now) / all;
     const auto sharers = static_cast<double>(std::max<size_t>(1, hosts));
-    const double least = std::min(1.0, m_options.evenPerSlot * slots / sharers);
+    const double least = std::min(1.0, m_options.evenSharePerSlot * slots / sharers);
     return std::max(least, total * part);
 }
 
@@ -91,9 +95,9 @@
 {
     const Totals& all = totals(now);
     const unsigned wanted = all.present + all.waitingNow;
-    if (all.present > m_options.crowdedFrom * slots || wanted > m_options.crowdedWanted * slots)
+    if (all.present > m_options.crowdedInFlightPerSlot * slots || wanted > m_options.crowdedDemandPerSlot * slots)
         m_crowded = true;
-    else if (wanted < m_options.crowdedUntil * slots && now >= m_expectedUntil)
+    else if (wanted < m_options.uncrowdedPerSlot * slots && now >= m_expectedUntil)
         m_crowded = false;
     return m_crowded;
 }
@@ -101,7 +105,7 @@
 void SlotDemand::expectCrowd(Instant now)
 {
     m_crowded = true;
-    m_expectedUntil = now + m_options.expectedFor;
+    m_expectedUntil = now + m_options.expectedCrowdDuration;
 }
 
 unsigned SlotDemand::takePermits(std::string_view host, unsigned slots, Instant now)
@@ -116,18 +120,18 @@
     const auto found = m_hosts.find(host);
     if (found == m_hosts.end())
         return 0;
-    const double atOnce = found->second.inFlight * weightOf(found->second, now);
+    const double concurrent = found->second.inFlight * weightOf(found->second, now);
     return static_cast<unsigned>(
-        std::ceil(atOnce * static_cast<double>(m_reportEvery.count()) / std::max(1.0, workMillis)));
+        std::ceil(concurrent * static_cast<double>(m_reportInterval.count()) / std::max(1.0, workMillis)));
 }
 
 unsigned SlotDemand::permitsWanted(std::string_view host, unsigned slots, unsigned ahead, Instant now)
 {
     const auto found = m_hosts.find(host);
     const unsigned waiting = found == m_hosts.end() ? 0 : found->second.waitingNow;
-    const auto total = static_cast<unsigned>(std::lround(m_options.perSlot * slots));
-    const unsigned there = totals(now).present;
-    const unsigned room = total > there ? total - there : 0;
+    const auto total = static_cast<unsigned>(std::lround(m_options.targetPerSlot * slots));
+    const unsigned present = totals(now).present;
+    const unsigned room = total > present ? total - present : 0;
     return std::min(room, waiting + ahead);
 }
 
@@ -140,7 +144,7 @@
     m_totalsAt = Instant::min();
 }
 
-Millis SlotDemand::permitPause(unsigned slots, double workMillis, Instant now)
+Millis SlotDemand::permitInterval(unsigned slots, double workMillis, Instant now)
 {
     const double hosts = std::max(1U, totals(now).waitingHosts);
     return Millis(std::llround(hosts * workMillis / std::max(1U, slots)));
--- a/packages/decisions/SlotShares.h
+++ b/packages/decisions/SlotShares.h
@@ -18,20 +18,20 @@
 struct ShareOptions {
     // Below so many requests for each slot, at work or waiting, the server has room and nobody needs a share: a host
     // must not hold a request back from a free slot because it has had its part.
-    double pressedFrom = 0.75;
+    double pressureThreshold = 0.75;
     // Above, the requests at the server for each of its slots, over all hosts: enough that a slot that becomes free
     // is taken at once, although hosts tell late of the end of work; few enough that an answer takes little longer than
     // the work.
-    double perSlot = 1.8;
+    double targetPerSlot = 1.8;
     // A host always has its even part of so many for each slot, up to one request: the server's queue holds them, and
     // what comes to a host by chance is not held back from a slot that is free.
-    double evenPerSlot = 3;
+    double evenSharePerSlot = 3;
     // With so many requests at the server for each of its slots it is crowded. Servers queue about four for each slot;
     // until all hosts know, as many come again.
-    double crowdedFrom = 1.5;
-    double crowdedWanted = 4; // the same, at the server or waiting for it
-    double crowdedUntil = 1; // at the server or waiting; below, it is no longer crowded
-    Millis expectedFor { 2'000 }; // a crowd that moves to another server shows there within a few reports
+    double crowdedInFlightPerSlot = 1.5;
+    double crowdedDemandPerSlot = 4; // the same, at the server or waiting for it
+    double uncrowdedPerSlot = 1; // at the server or waiting; below, it is no longer crowded
+    Millis expectedCrowdDuration { 2'000 }; // a crowd that moves to another server shows there within a few reports
     double smoothing = 0.5; // of the newest report against what was known
 };
 
@@ -53,7 +53,7 @@
     {
     }
 
-    void setReportEvery(Millis interval) { m_reportEvery = interval; }
+    void setReportInterval(Millis interval) { m_reportInterval = interval; }
 
     // What a host has at the server and what waits. Hosts leave servers out at which they have nothing: what is known
     // of one that says no more counts for less with each report that it must have sent since. Load pattern: dozens of
@@ -61,7 +61,7 @@
     // pressed.
     void report(std::string_view host, const Demand&, Instant now);
     double inFlight(Instant now); // of all hosts
-    bool pressed(unsigned slots, Instant now);
+    bool underPressure(unsigned slots, Instant now);
     void forget(std::string_view host);
     // Of a server that isn't crowded: the part of a host, by its demand. `hosts`: that share the server.
     double shareOf(std::string_view host, unsigned slots, size_t hosts, Instant now);
@@ -79,7 +79,7 @@
     void givePermits(std::string_view host, unsigned permits);
     unsigned waitingHosts(Instant now) { return totals(now).waitingHosts; }
     // Between two permits for one host, as things stand. `work`: of one request at the server.
-    Millis permitPause(unsigned slots, double workMillis, Instant now);
+    Millis permitInterval(unsigned slots, double workMillis, Instant now);
 
 private:
     struct Host {
@@ -89,7 +89,7 @@
         unsigned overdue = 0;
         unsigned waitingNow = 0;
         unsigned permits = 0; // given with the answer to its last report
-        Instant heard {};
+        Instant lastReportAt {};
     };
     struct Totals {
         double wanted = 0;
@@ -103,11 +103,11 @@
     const Totals& totals(Instant now);
 
     ShareOptions m_options;
-    Millis m_reportEvery { 250 }; // a host that names the server in none of these has nothing there
+    Millis m_reportInterval { 250 }; // a host that names the server in none of these has nothing there
     std::map<std::string, Host, std::less<>> m_hosts;
     Totals m_totals; // as of `m_totalsAt`; made anew after each change
     Instant m_totalsAt = Instant::min();
-    Instant m_answered {}; // the last report of an answer
+    Instant m_lastAnswerAt {}; // the last report of an answer
     bool m_crowded = false;
     Instant m_expectedUntil {};
 };
--- a/packages/decisions/StopGate.h
+++ b/packages/decisions/StopGate.h
@@ -47,7 +47,7 @@
     uint64_t rosterVersion = 0;
     int64_t resourcesRevision = 0; // of the configuration in force at its dispatching thread
     std::vector<BusySlice> busy; // stopping slices with something in flight
-    std::map<std::string, Sight, std::less<>> sights; // of the backend servers it watches
+    std::map<std::string, Reachability, std::less<>> sights; // of the backend servers it watches
 };
 
 using HostReports = std::map<std::string, HostReport, std::less<>>;
--- a/packages/decisions/WarmUp.cpp
+++ b/packages/decisions/WarmUp.cpp
@@ -9,16 +9,16 @@
 
     // Counts must stay lower for so long before they are believed: hosts that a new coordinator has not heard of yet
     // still send. This host may itself have been cut off, and hear first of a new coordinator.
-    constexpr Millis believedAfter { 10'000 };
-    constexpr Millis gap { 3'000 }; // longer than between two counts: this host was cut off
+    constexpr Millis lowerCountDelay { 10'000 };
+    constexpr Millis maxCountGap { 3'000 }; // longer than between two counts: this host was cut off
     // All hosts have reported to a new coordinator by then, also where they report once a second.
-    constexpr Millis settlesIn { 2'000 };
+    constexpr Millis settlingTime { 2'000 };
     // Of what the server takes, on average. Which hosts send is a matter of chance for each server, and now and then
     // twice as many do.
-    constexpr double usedPart = 0.75;
+    constexpr double targetUtilization = 0.75;
 
     // FNV-1a with a final mix (64 bits), so that the choice is the same on every host and platform.
-    uint64_t mixed(std::string_view host, std::string_view server)
+    uint64_t hashOf(std::string_view host, std::string_view server)
     {
         uint64_t hash = 0xcbf29ce484222325;
         const auto add = [&](std::string_view text) {
@@ -42,38 +42,38 @@
 {
     if (!hosts)
         return;
-    if (!m_since)
-        m_since = now;
-    const bool gapBefore = now - std::exchange(m_heardAt, now) > gap;
-    if (hosts >= m_most) {
-        m_most = hosts;
+    if (!m_firstCountAt)
+        m_firstCountAt = now;
+    const bool gapBefore = now - std::exchange(m_lastCountAt, now) > maxCountGap;
+    if (hosts >= m_maxCount) {
+        m_maxCount = hosts;
         m_lowerSince.reset();
-        m_mostLower = 0;
+        m_maxLowerCount = 0;
         return;
     }
     if (!m_lowerSince || gapBefore) {
         m_lowerSince = now;
-        m_mostLower = 0;
+        m_maxLowerCount = 0;
     }
-    m_mostLower = std::max(m_mostLower, hosts);
-    if (now - *m_lowerSince < believedAfter)
+    m_maxLowerCount = std::max(m_maxLowerCount, hosts);
+    if (now - *m_lowerSince < lowerCountDelay)
         return;
-    m_most = std::exchange(m_mostLower, 0);
+    m_maxCount = std::exchange(m_maxLowerCount, 0);
     m_lowerSince.reset();
 }
 
 std::optional<size_t> HostCount::settled(Instant now) const
 {
-    if (!m_since || now - *m_since < settlesIn)
+    if (!m_firstCountAt || now - *m_firstCountAt < settlingTime)
         return std::nullopt;
-    return m_most;
+    return m_maxCount;
 }
 
-bool sendsWhileWarmingUp(std::string_view host, std::string_view server, size_t hosts, const WarmUpBound& bound)
+bool maySendDuringWarmUp(std::string_view host, std::string_view server, size_t hosts, const WarmUpLimit& bound)
 {
-    const double wanted = usedPart * bound.perSecond / static_cast<double>(std::max<size_t>(1, hosts));
+    const double wanted = targetUtilization * bound.perSecond / static_cast<double>(std::max<size_t>(1, hosts));
     constexpr double parts = 1 << 20;
-    return static_cast<double>(mixed(host, server) % (1 << 20)) < wanted * parts;
+    return static_cast<double>(hashOf(host, server) % (1 << 20)) < wanted * parts;
 }
 
 }
--- a/packages/decisions/WarmUp.h
+++ b/packages/decisions/WarmUp.h
@@ -23,11 +23,11 @@
 namespace cumindale {
 
 // As operators declare it for the servers of a service.
-struct WarmUpBound {
-    Millis lasts { 0 }; // after a start
+struct WarmUpLimit {
+    Millis duration { 0 }; // after a start
     double perSecond = 0; // requests from all hosts together, borne meanwhile; 0: as many as when warm
     bool isSet() const { return perSecond > 0; }
-    bool operator==(const WarmUpBound&) const = default;
+    bool operator==(const WarmUpLimit&) const = default;
 };
 
 // How many hosts there are, as far as this host was ever told lately. A coordinator counts those that have reported to
@@ -38,15 +38,15 @@
     std::optional<size_t> settled(Instant now) const; // nothing: not known for long enough
 
 private:
-    size_t m_most = 0;
-    std::optional<Instant> m_since; // the first count
-    Instant m_heardAt {}; // the last count
+    size_t m_maxCount = 0;
+    std::optional<Instant> m_firstCountAt; // the first count
+    Instant m_lastCountAt {}; // the last count
     std::optional<Instant> m_lowerSince; // all counts since then were lower than `m_most`, and came without a gap
-    size_t m_mostLower = 0; // of these
+    size_t m_maxLowerCount = 0; // of these
 };
 
 // Whether this host is one of the few that may send to the server while it warms up.
-bool sendsWhileWarmingUp(std::string_view host, std::string_view server, size_t hosts, const WarmUpBound&);
+bool maySendDuringWarmUp(std::string_view host, std::string_view server, size_t hosts, const WarmUpLimit&);
 
 // Between two requests of one such host to one such server. Longer than the second in which they are counted: the way
 // of a later one may be shorter.
--- a/packages/gateway/Announcer.cpp
+++ b/packages/gateway/Announcer.cpp
@@ -125,7 +125,7 @@
 void Announcer::bringUp(const wire::HostReport& report, const Tables& tables, wire::HostAdvice& advice) const
 {
     // Instead of a reading of everything, which takes a small link longer than the next changes take to come.
-    const auto missed = m_history.since(report.lastChange);
+    const auto missed = m_history.changesSince(report.lastChange);
     if (missed && !missed->empty()) {
         advice.missed.afterChange = report.lastChange;
         advice.missed.lastChange = m_history.last();
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -497,7 +497,7 @@
     {
         if (move.heavyKey)
             return "a heavy key";
-        return move.newcomer ? "a new server" : "evenness";
+        return move.toEmptyServer ? "a new server" : "evenness";
     }
 
 }
@@ -555,12 +555,13 @@
     m_lastBalance = now;
     for (auto& [service, plan] : m_plans) {
         KeyLoad& load = m_loads[service];
-        load.index();
+        load.buildPrefixSums();
         const auto ranges = plan->table().ranges;
         BalanceOptions options = m_options.balance;
-        options.rememberedSeconds = meanLifeSeconds();
+        options.loadDecaySeconds = meanLifeSeconds();
         options.workMillis = meanWorkMillis(*plan);
-        options.movesAtOnce = std::max(options.movesAtOnce, m_view.servers()->size() / m_options.serversPerMove);
+        options.maxConcurrentMoves
+            = std::max(options.maxConcurrentMoves, m_view.servers()->size() / m_options.serversPerMove);
         const auto moves = planBalance(ranges, load, capacities(*plan), options);
         expectCrowds(moves, load);
         for (const auto& move : moves)
@@ -829,7 +830,7 @@
         const auto server = m_view.servers()->find(move.to);
         if (server == m_view.servers()->end())
             continue;
-        const double busyMillis = load.of(move.first, move.last);
+        const double busyMillis = load.sumOver(move.first, move.last);
         if (m_shares.expectCrowd(move.to, server->second.slots, busyMillis, m_clock.now()))
             crowded.push_back(move.to);
     }
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -220,7 +220,7 @@
     for (const auto& id : std::exchange(m_shared, {})) {
         const auto server = m_servers.find(id);
         if (server != m_servers.end() && !shares.servers.count(id))
-            server->second->dropShare(now);
+            server->second->clearShare(now);
     }
     for (const auto& [id, advice] : shares.servers) {
         const auto server = m_servers.find(id);
@@ -447,7 +447,7 @@
         candidate.usable = !server->isUnready(now)
             && std::find(job.tried.begin(), job.tried.end(), server->entry.id) == job.tried.end();
         candidate.resting = server->failing(now) || server->entry.unconfirmed;
-        candidate.sameCentre = server->entry.dataCentre == m_options.dataCentre;
+        candidate.sameDataCentre = server->entry.dataCentre == m_options.dataCentre;
         candidate.busy = admission.inFlight();
         candidate.waiting = static_cast<unsigned>(admission.queued());
         candidate.limit = admission.limit();
@@ -509,7 +509,7 @@
         return true;
     const auto hosts = m_hostCount.settled(now);
     return hosts && server.hasWarmUpTurn(now)
-        && sendsWhileWarmingUp(m_options.host, server.entry.id, *hosts, server.warmUp());
+        && maySendDuringWarmUp(m_options.host, server.entry.id, *hosts, server.warmUp());
 }
 
 bool Gateway::anyWarm(const std::string& service, Instant now) const
--- a/packages/gateway/GatewayControl.cpp
+++ b/packages/gateway/GatewayControl.cpp
@@ -194,7 +194,7 @@
         if (auto event = eventIn(item))
             events.push_back(std::move(*event));
         else
-            m_follower.expect(item.key, item.revision, deliveryTime(static_cast<size_t>(item.leftOutBytes)));
+            m_follower.expect(item.key, item.revision, deliveryTimeout(static_cast<size_t>(item.leftOutBytes)));
     }
     if (!news.items.empty()) {
         (news.afterChange > m_view.lastChange() ? m_newsGaps : m_newsTaken).add();
@@ -324,7 +324,7 @@
         advice.kind = share.crowded ? ServerAdvice::Kind::Permits : ServerAdvice::Kind::Share;
         advice.share = share.slotsCenti / centi;
         advice.permits = static_cast<unsigned>(std::max(0, share.permits));
-        advice.permitPause = Millis(std::max(0, share.pauseMillis));
+        advice.permitInterval = Millis(std::max(0, share.pauseMillis));
         return advice;
     }
 
--- a/packages/gateway/Messages.h
+++ b/packages/gateway/Messages.h
@@ -25,7 +25,7 @@
     Kind kind = Kind::Room; // Room: no need to share
     double share = 0; // requests there at once
     unsigned permits = 0; // that may start beyond those there: the server is crowded
-    Millis permitPause { 0 }; // until the next permit, about
+    Millis permitInterval { 0 }; // until the next permit, about
 };
 
 using RateLimits = std::map<std::string, PerSecond, std::less<>>; // by server id
--- a/packages/gateway/NewsFanout.cpp
+++ b/packages/gateway/NewsFanout.cpp
@@ -69,7 +69,7 @@
 {
     while (std::exchange(m_anyUnsent, false)) {
         const wire::News news = std::exchange(m_unsent, {});
-        const bool arrived = co_await m_link->adopt(news, deliveryTime(sizeOf(news)));
+        const bool arrived = co_await m_link->adopt(news, deliveryTimeout(sizeOf(news)));
         if (!arrived && m_failure)
             m_failure(news);
     }
--- a/packages/gateway/PlatformView.cpp
+++ b/packages/gateway/PlatformView.cpp
@@ -59,7 +59,7 @@
     Change change;
     for (const auto& event : events) {
         if (isOthers(event.value.key))
-            m_known.completeTo(event.value.modRevision);
+            m_known.markCompleteUpTo(event.value.modRevision);
         applyEvent(event, change);
     }
     logRegistrationsLeftOut();
@@ -107,7 +107,7 @@
         change.servers |= dropped.servers;
     }
     // Erasures leave no item behind: what was read is as new as the store then was.
-    m_known.completeTo(reply.revision);
+    m_known.markCompleteUpTo(reply.revision);
     m_readAt = std::max(m_readAt, reply.revision);
     m_revision = std::max(m_revision, reply.revision);
     return change;
@@ -332,7 +332,7 @@
         // A data centre that comes back is therefore warming up until an entry that is newer says otherwise.
         const RoutedService* service = m_rules ? m_rules->service(server.service) : nullptr;
         if (!evacuated && service && service->warmUp.isSet())
-            server.warmAt = std::max(server.warmAt, now + service->warmUp.lasts);
+            server.warmAt = std::max(server.warmAt, now + service->warmUp.duration);
     }
 }
 
--- a/packages/gateway/ServerShares.cpp
+++ b/packages/gateway/ServerShares.cpp
@@ -40,7 +40,7 @@
 ServerShares::State& ServerShares::stateOf(const std::string& server)
 {
     State& state = m_servers.try_emplace(server, m_options).first->second;
-    state.demand.setReportEvery(m_reportEvery);
+    state.demand.setReportInterval(m_reportEvery);
     return state;
 }
 
@@ -100,8 +100,8 @@
         const unsigned wanted = state.demand.permitsWanted(host, slots, ahead, now);
         const unsigned permits = m_rates.takePermits(server, wanted, now);
         state.demand.givePermits(host, permits);
-        const Millis pause
-            = std::max(state.demand.permitPause(slots, workOrUsual(state), now), m_rates.permitPause(server, waiting));
+        const Millis pause = std::max(
+            state.demand.permitInterval(slots, workOrUsual(state), now), m_rates.permitInterval(server, waiting));
         share.crowded = true;
         share.permits = static_cast<int32_t>(permits);
         share.pauseMillis = static_cast<int32_t>(pause.count());
@@ -110,10 +110,10 @@
     if (crowded(server, state, slots, now)) {
         share.crowded = true;
         share.permits = static_cast<int32_t>(state.demand.takePermits(host, slots, now));
-        share.pauseMillis = static_cast<int32_t>(state.demand.permitPause(slots, workOrUsual(state), now).count());
+        share.pauseMillis = static_cast<int32_t>(state.demand.permitInterval(slots, workOrUsual(state), now).count());
         return share;
     }
-    if (!state.demand.pressed(slots, now))
+    if (!state.demand.underPressure(slots, now))
         return std::nullopt;
     share.slotsCenti = static_cast<int32_t>(std::lround(centi * state.demand.shareOf(host, slots, m_hosts, now)));
     return share;
@@ -132,8 +132,9 @@
 {
     // A crowded server that has gone, or whose keys have moved, is named by no report. Were its place not given back,
     // after six such no server got permits any more until the office ended. Hosts believe in a crowd as long.
-    std::erase_if(m_crowded, [&](const auto& entry) { return now - entry.second > ServerLimitOptions {}.crowdedFor; });
-    return hostsOverflow(m_hosts, slots) && (m_crowded.count(server) || m_crowded.size() < crowdedAtOnce);
+    std::erase_if(
+        m_crowded, [&](const auto& entry) { return now - entry.second > ServerLimitOptions {}.crowdedTimeout; });
+    return hostsExceedQueue(m_hosts, slots) && (m_crowded.count(server) || m_crowded.size() < crowdedAtOnce);
 }
 
 bool ServerShares::crowded(const std::string& server, State& state, unsigned slots, Instant now)
@@ -150,7 +151,7 @@
 {
     State& state = stateOf(server);
     const double asked = busyMillis / 1000 * workOrUsual(state) / m_usualWorkMillis; // requests at once
-    if (asked < m_options.crowdedFrom * slots || !mayBeCrowded(server, slots, now))
+    if (asked < m_options.crowdedInFlightPerSlot * slots || !mayBeCrowded(server, slots, now))
         return false;
     state.demand.expectCrowd(now);
     m_crowded[server] = now;
--- a/packages/gateway/Upstream.cpp
+++ b/packages/gateway/Upstream.cpp
@@ -56,7 +56,7 @@
     if (wasOpen && (withdrawn() || warmingUp(now)))
         pool.evictQueue(); // what waits here looks for another server, or for the keys' next owner
     pool.update(resourceOf(registered, service), hosts);
-    m_limit.setSharers(registered.slots, hosts);
+    m_limit.setSlotsAndHosts(registered.slots, hosts);
     applyLimit(now);
 }
 
@@ -80,7 +80,7 @@
 {
     switch (advice.kind) {
     case ServerAdvice::Kind::Room:
-        m_limit.setRoom();
+        m_limit.setUnrestricted();
         break;
     case ServerAdvice::Kind::Share:
         m_limit.setShare(advice.share);
@@ -88,7 +88,7 @@
     case ServerAdvice::Kind::Permits:
         if (!rateLimit())
             m_limit.setCrowded(now);
-        m_permitPause = advice.permitPause;
+        m_permitPause = advice.permitInterval;
         m_mayAskFrom = now + m_permitPause;
         m_permitsUntil = now + permitsLast;
         if (needsPermit(now))
@@ -134,9 +134,9 @@
     return now + m_permitPause * static_cast<int64_t>(pool.admission().queued() + 1);
 }
 
-void Upstream::dropShare(Instant now)
+void Upstream::clearShare(Instant now)
 {
-    m_limit.dropShare();
+    m_limit.clearShare();
     applyLimit(now);
 }
 
--- a/packages/gateway/Upstream.h
+++ b/packages/gateway/Upstream.h
@@ -20,7 +20,7 @@
 
     // --- Limits, told by the coordinator
     void advise(const ServerAdvice&, Instant now);
-    void dropShare(Instant now); // the answer to a report leaves it out
+    void clearShare(Instant now); // the answer to a report leaves it out
     void setCrowded(Instant now);
     bool crowded(Instant now) const { return m_limit.crowded(now); }
     // Nothing goes there without the coordinator's permit: it is crowded, or has named a limit.
@@ -66,7 +66,7 @@
     // --- Warming up
     bool warmingUp(Instant now) const { return m_warmUp.isSet() && now < warmAt(); }
     Instant warmAt() const { return std::max(entry.warmAt, m_heldOffUntil); }
-    const WarmUpBound& warmUp() const { return m_warmUp; }
+    const WarmUpLimit& warmUp() const { return m_warmUp; }
     bool hasWarmUpTurn(Instant now) const { return now >= m_nextWarmUpTurn; } // of a host that may send meanwhile
     void takeWarmUpTurn(Instant now) { m_nextWarmUpTurn = now + warmUpPause; }
     // A server that couldn't be connected to and can be again may have started anew, and its entry not have been heard
@@ -102,7 +102,7 @@
 
     Instant m_saysLeavingSince {};
     Instant m_restUntil {};
-    WarmUpBound m_warmUp;
+    WarmUpLimit m_warmUp;
     Instant m_nextWarmUpTurn {};
     bool m_connectFailed = false; // the last time
     Instant m_heldOffUntil {};
--- a/packages/operators/StatusJson.cpp
+++ b/packages/operators/StatusJson.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-    std::string_view sightName(Sight sight)
+    std::string_view sightName(Reachability sight)
     {
         switch (sight) {
-        case Sight::Unknown:
+        case Reachability::Unknown:
             return "unknown";
-        case Sight::Reachable:
+        case Reachability::Reachable:
             return "reachable";
-        case Sight::Silent:
+        case Reachability::Unresponsive:
             return "silent";
-        case Sight::Refused:
+        case Reachability::Refused:
             return "refused";
         }
         return "unknown";
--- a/packages/peers/Wire.cpp
+++ b/packages/peers/Wire.cpp
@@ -76,7 +76,7 @@
     for (const auto& busy : in.busy)
         state.report.busy.push_back({ busy.serviceName, static_cast<uint64_t>(busy.sliceBegin) });
     for (const auto& sight : in.sights)
-        state.report.sights[sight.server] = static_cast<Sight>(sight.sight);
+        state.report.sights[sight.server] = static_cast<Reachability>(sight.sight);
     return state;
 }
 
--- a/packages/routing/Messages.h
+++ b/packages/routing/Messages.h
@@ -46,7 +46,7 @@
     int64_t resourcesRevision = 0;
     std::map<std::string, uint64_t, std::less<>> adoptedTables;
     std::vector<BusySlice> busy;
-    std::map<std::string, Sight, std::less<>> sights;
+    std::map<std::string, Reachability, std::less<>> sights;
     std::map<std::string, ServiceLoad> loads; // empty in most reports
 };
 
--- a/packages/routing/Router.cpp
+++ b/packages/routing/Router.cpp
@@ -120,21 +120,21 @@
     if (found == m_servers.end())
         return;
     ServerTarget& server = *found->second;
-    const Sight sight = server.pool.watch().sight();
-    const bool takesWork = server.pool.watch().takesWork();
-    if (!takesWork) {
+    const Reachability sight = server.pool.watch().reachability();
+    const bool acceptsNewWork = server.pool.watch().acceptsNewWork();
+    if (!acceptsNewWork) {
         server.pool.dropIdle();
         server.pool.evictQueue();
     }
-    if (sight == Sight::Silent) {
+    if (sight == Reachability::Unresponsive) {
         // Answers may never come, another owner will give them. What is not idempotent waits on.
         server.abandonOlderThan(Instant::max());
-    } else if (takesWork && !server.tookWork) {
+    } else if (acceptsNewWork && !server.tookWork) {
         // A fresh connection answered after an old one had not: what hangs on old ones may hang for good.
-        server.abandonOlderThan(m_clock.now() - m_options.watch.answerWithin);
+        server.abandonOlderThan(m_clock.now() - m_options.watch.probeTimeout);
     }
-    server.tookWork = takesWork;
-    if (sight == Sight::Refused)
+    server.tookWork = acceptsNewWork;
+    if (sight == Reachability::Refused)
         m_inFlight.serverGone(name);
     m_changed.notifyAll();
     reportNow();
@@ -182,7 +182,7 @@
     if (slice.state == SliceState::Unowned || !route.servers[slice.owner])
         return { ErrorKind::NoOwner, nullptr };
     const auto& owner = route.servers[slice.owner];
-    if (!owner->pool.watch().takesWork())
+    if (!owner->pool.watch().acceptsNewWork())
         return { ErrorKind::ServerUnreachable, owner };
     return { ErrorKind::None, owner, slice.fence, slice.begin, route.table->lastPointOf(index),
         route.table->workLimit };
@@ -340,7 +340,7 @@
         job.maybeRan = true;
         co_return result.error;
     }
-    const bool heldBack = !server->pool.watch().takesWork();
+    const bool heldBack = !server->pool.watch().acceptsNewWork();
     server->pool.watch().answered(m_clock.now());
     if (heldBack)
         m_changed.notifyAll();
@@ -392,7 +392,7 @@
     if (result.ended) {
         m_inFlight.connectionEnded(id);
         // The prober may have seen the refusals first.
-        if (at.server->pool.watch().sight() == Sight::Refused)
+        if (at.server->pool.watch().reachability() == Reachability::Refused)
             m_inFlight.serverGone(server.name);
     } else
         m_inFlight.answered(id);
@@ -497,7 +497,7 @@
             report.busy.push_back(std::move(busy));
     }
     for (const auto& [name, server] : m_servers)
-        report.sights[name] = server->pool.watch().sight();
+        report.sights[name] = server->pool.watch().reachability();
     return report;
 }
 
--- a/packages/routing/Router.h
+++ b/packages/routing/Router.h
@@ -24,7 +24,7 @@
 struct RouterOptions {
     std::string host; // this host's name
     size_t keyBytes = 1'024; // longest key
-    WatchOptions watch;
+    MonitorOptions watch;
 };
 
 class Router final : public RequestHandler {
--- a/packages/routing/ServiceRoute.cpp
+++ b/packages/routing/ServiceRoute.cpp
@@ -11,7 +11,7 @@
 }
 
 ServerTarget::ServerTarget(
-    boost::asio::any_io_executor executor, const Clock& clock, const ServerResource& resource, WatchOptions watch)
+    boost::asio::any_io_executor executor, const Clock& clock, const ServerResource& resource, MonitorOptions watch)
     : pool(std::move(executor), clock, resource, watch)
 {
 }
--- a/packages/routing/ServiceRoute.h
+++ b/packages/routing/ServiceRoute.h
@@ -14,7 +14,7 @@
 
 // One backend server as this host reaches it.
 struct ServerTarget {
-    ServerTarget(boost::asio::any_io_executor, const Clock&, const ServerResource&, WatchOptions);
+    ServerTarget(boost::asio::any_io_executor, const Clock&, const ServerResource&, MonitorOptions);
     ~ServerTarget();
 
     void abandonOlderThan(Instant); // idempotent requests under way that began before are tried elsewhere
--- a/tests/change_history_test.cpp
+++ b/tests/change_history_test.cpp
@@ -31,17 +31,17 @@
 TEST_CASE("known changes are complete up to the first that is unknown, in whatever order they are heard of")
 {
     CHECK(rc::check([] {
-        constexpr int64_t mostChanges = 60;
+        constexpr int64_t maxRevision = 60;
         KnownChanges known;
-        std::set<int64_t> heard;
+        std::set<int64_t> received;
         const auto messages = *rc::gen::container<std::vector<std::pair<int64_t, int64_t>>>(
-            rc::gen::pair(rc::gen::inRange<int64_t>(0, mostChanges), rc::gen::inRange<int64_t>(1, 9)));
+            rc::gen::pair(rc::gen::inRange<int64_t>(0, maxRevision), rc::gen::inRange<int64_t>(1, 9)));
         for (const auto& [after, count] : messages) {
             known.add(after, after + count);
             for (int64_t revision = after + 1; revision <= after + count; ++revision)
-                heard.insert(revision);
+                received.insert(revision);
             int64_t complete = 0;
-            while (heard.count(complete + 1))
+            while (received.count(complete + 1))
                 ++complete;
             RC_ASSERT(known.complete() == complete);
         }
@@ -51,11 +51,11 @@
 TEST_CASE("a reading closes the gap before what was heard meanwhile")
 {
     KnownChanges known;
-    known.completeTo(35);
+    known.markCompleteUpTo(35);
     known.add(37, 40);
     known.add(40, 41);
     CHECK(known.complete() == 35);
-    known.completeTo(38);
+    known.markCompleteUpTo(38);
     CHECK(known.complete() == 41);
 }
 
@@ -66,39 +66,39 @@
     const std::vector<ItemChange> second { changeAt(20) };
     history.add(10, 14, first);
     history.add(14, 20, second);
-    CHECK(revisionsOf(*history.since(10)) == std::vector<int64_t> { 11, 14, 20 });
-    CHECK(revisionsOf(*history.since(12)) == std::vector<int64_t> { 14, 20 }); // known by a reading
-    CHECK(history.since(20)->empty());
-    CHECK_FALSE(history.since(9));
+    CHECK(revisionsOf(*history.changesSince(10)) == std::vector<int64_t> { 11, 14, 20 });
+    CHECK(revisionsOf(*history.changesSince(12)) == std::vector<int64_t> { 14, 20 }); // known by a reading
+    CHECK(history.changesSince(20)->empty());
+    CHECK_FALSE(history.changesSince(9));
     SUBCASE("a gap in what was heard of ends what can be told again")
     {
         const std::vector<ItemChange> third { changeAt(31) };
         history.add(30, 31, third);
-        CHECK_FALSE(history.since(20));
-        CHECK(revisionsOf(*history.since(30)) == std::vector<int64_t> { 31 });
+        CHECK_FALSE(history.changesSince(20));
+        CHECK(revisionsOf(*history.changesSince(30)) == std::vector<int64_t> { 31 });
     }
 }
 
 TEST_CASE("the history is bounded, and leaves large values out")
 {
     ChangeHistoryOptions options;
-    options.mostBytes = 1'000;
-    options.largeValue = 100;
+    options.maxBytes = 1'000;
+    options.maxValueBytes = 100;
     ChangeHistory history(options);
     constexpr int64_t changes = 100;
     for (int64_t revision = 1; revision <= changes; ++revision) {
         const std::vector<ItemChange> one { changeAt(revision, 90) };
         history.add(revision - 1, revision, one);
     }
-    CHECK_FALSE(history.since(changes - 15));
-    CHECK(history.since(changes - 9)->size() == 9);
+    CHECK_FALSE(history.changesSince(changes - 15));
+    CHECK(history.changesSince(changes - 9)->size() == 9);
 
     const std::vector<ItemChange> large { changeAt(changes + 1, 700'000) };
     history.add(changes, changes + 1, large);
-    const auto told = history.since(changes);
-    REQUIRE(told->size() == 1);
-    CHECK(told->front().value.empty());
-    CHECK(told->front().leftOutBytes == 700'000);
+    const auto missed = history.changesSince(changes);
+    REQUIRE(missed->size() == 1);
+    CHECK(missed->front().value.empty());
+    CHECK(missed->front().leftOutBytes == 700'000);
 }
 
 // A change of routes was in force 3.1 s late on hosts with links of 10 Mbit/s, where 2.5 s is the bound: a document of
@@ -128,7 +128,7 @@
 {
     constexpr size_t document = 700'000;
     constexpr size_t smallestLink = 1'250; // bytes each ms
-    CHECK(deliveryTime(300) == Millis(300));
-    CHECK(deliveryTime(document) > Millis(document / smallestLink));
-    CHECK(deliveryTime(document) < Millis(1'250)); // half of the time in which routes must be in force
+    CHECK(deliveryTimeout(300) == Millis(300));
+    CHECK(deliveryTimeout(document) > Millis(document / smallestLink));
+    CHECK(deliveryTimeout(document) < Millis(1'250)); // half of the time in which routes must be in force
 }
--- a/tests/crowd_model.cpp
+++ b/tests/crowd_model.cpp
@@ -59,10 +59,10 @@
                 ModelHost& host = m_hosts.emplace_back();
                 host.nextReport = begin + Millis(std::llround(unit(m_random) * reportEvery()));
                 host.reported = host.nextReport - Millis(std::llround(reportEvery()));
-                host.limit.setSharers(load.slots, load.hosts);
+                host.limit.setSlotsAndHosts(load.slots, load.hosts);
                 host.queue.finished(priority, load.work, begin);
             }
-            m_demand.setReportEvery(Millis(std::llround(reportEvery())));
+            m_demand.setReportInterval(Millis(std::llround(reportEvery())));
         }
 
         CrowdResult play()
@@ -277,7 +277,7 @@
             const bool inUse = demand.inFlight > 0 || demand.waiting > 0 || demand.waitingNow;
             const bool told = std::exchange(host.told, inUse);
             if (!inUse && !(told && host.limit.crowded(now))) {
-                host.limit.dropShare();
+                host.limit.clearShare();
                 return; // the server is left out
             }
             if (host.limit.crowded(now))
@@ -297,10 +297,11 @@
         {
             const std::string name = "host-" + std::to_string(number);
             m_demand.report(name, demand, now);
-            if (hostsOverflow(m_load.hosts, m_load.slots) && m_demand.crowded(m_load.slots, now)) {
+            if (hostsExceedQueue(m_load.hosts, m_load.slots) && m_demand.crowded(m_load.slots, now)) {
                 tellCrowded(now);
                 const unsigned permits = m_demand.takePermits(name, m_load.slots, now);
-                const Millis pause = m_demand.permitPause(m_load.slots, static_cast<double>(m_load.work.count()), now);
+                const Millis pause
+                    = m_demand.permitInterval(m_load.slots, static_cast<double>(m_load.work.count()), now);
                 at(now + way / 2, [this, number, permits, pause](Instant then) {
                     m_hosts[number].pause = pause;
                     m_hosts[number].limit.setCrowded(then);
@@ -308,13 +309,13 @@
                 });
                 return;
             }
-            const bool pressed = m_demand.pressed(m_load.slots, now);
+            const bool pressed = m_demand.underPressure(m_load.slots, now);
             const double share = m_demand.shareOf(name, m_load.slots, m_load.hosts, now);
             at(now + way / 2, [this, number, pressed, share](Instant) {
                 if (pressed)
                     m_hosts[number].limit.setShare(share);
                 else
-                    m_hosts[number].limit.setRoom();
+                    m_hosts[number].limit.setUnrestricted();
             });
         }
 
--- a/tests/load_decisions_test.cpp
+++ b/tests/load_decisions_test.cpp
@@ -238,7 +238,7 @@
         for (size_t host = 0; host < hosts; ++host)
             demand.report(name(host), { host < 3 ? 2 : 0.05, host < 3 ? 6.0 : 0, 0, 0 }, begin);
     }
-    REQUIRE(demand.pressed(slots, begin));
+    REQUIRE(demand.underPressure(slots, begin));
     double sum = 0;
     for (size_t host = 0; host < hosts; ++host)
         sum += demand.shareOf(name(host), slots, hosts, begin);
@@ -247,7 +247,7 @@
     CHECK(sum < 20); // slots and queue
     SlotDemand idle({});
     idle.report("host-1", { 1, 0, 1, 0 }, begin);
-    CHECK_FALSE(idle.pressed(slots, begin));
+    CHECK_FALSE(idle.underPressure(slots, begin));
 }
 
 // 67 hosts and a server with 4 slots and a queue of 16: with one request from each host at once it would hang.
@@ -294,7 +294,7 @@
     constexpr unsigned slots = 4;
     constexpr size_t hosts = 67;
     const auto name = [](size_t host) { return "host-" + std::to_string(host); };
-    const auto total = static_cast<unsigned>(options.perSlot * slots);
+    const auto total = static_cast<unsigned>(options.targetPerSlot * slots);
     std::vector<unsigned> present(hosts, 0);
     unsigned sum = 0;
     Instant now = begin;
@@ -336,7 +336,7 @@
     Instant now = begin;
     for (int64_t i = 0; i < 5 * hosts; ++i, now += gap) {
         demand.report("host-" + std::to_string(i % hosts), { 1, 0, 1, 0 }, now);
-        CHECK_FALSE(demand.pressed(slots, now));
+        CHECK_FALSE(demand.underPressure(slots, now));
     }
     // Ten requests a second of a report's length each: 2.5 at work; 35 where nothing is forgotten.
     CHECK(demand.inFlight(now) > 2);
@@ -346,9 +346,9 @@
         for (const auto* host : { "host-1", "host-2", "host-3" })
             demand.report(host, { 2, 2, 2, 2 }, now);
     }
-    CHECK(demand.pressed(slots, now));
+    CHECK(demand.underPressure(slots, now));
     CHECK(demand.inFlight(now) == doctest::Approx(6).epsilon(0.05));
-    CHECK_FALSE(demand.pressed(slots, now + Millis(2'000)));
+    CHECK_FALSE(demand.underPressure(slots, now + Millis(2'000)));
 }
 
 namespace {
@@ -379,7 +379,7 @@
 {
     double sum = 0;
     for (const auto& range : ranges)
-        sum += range.holder == server ? load.of(range.first, range.last) : 0;
+        sum += range.holder == server ? load.sumOver(range.first, range.last) : 0;
     return sum;
 }
 
@@ -425,7 +425,7 @@
     std::uniform_int_distribution<uint32_t> hotKey(30'000, 30'199);
     for (int i = 0; i < 4'000; ++i)
         load.add(i % 2 ? hotKey(random) : anyKey(random), 10);
-    load.index();
+    load.buildPrefixSums();
     int moves = 0;
     for (int round = 0; round < 6; ++round) {
         const auto plan = planBalance(ranges, load, capacities(servers, 4), {});
@@ -448,7 +448,7 @@
     load.add(100, 9'000);
     for (uint32_t key = 0; key < numberedKeys; key += 64)
         load.add(key, 4);
-    load.index();
+    load.buildPrefixSums();
     for (int round = 0; round < 10; ++round) {
         const auto plan = planBalance(ranges, load, capacities(servers, 4), {});
         for (const auto& move : plan)
@@ -476,7 +476,7 @@
     load.add(hot, 100 * options.requestMillis);
     for (uint32_t key = 0; key < numberedKeys; key += 64)
         load.add(key, 200.0 * options.requestMillis / 1024);
-    load.index();
+    load.buildPrefixSums();
     const auto holderOfHot = [&] {
         const auto at = std::find_if(ranges.begin(), ranges.end(),
             [](const KeyRange& range) { return range.first <= hot && hot <= range.last; });
@@ -502,11 +502,11 @@
 {
     auto ranges = evenRanges(4);
     KeyLoad load;
-    load.index();
+    load.buildPrefixSums();
     const auto plan = planBalance(ranges, load, capacities(5, 4), {});
     REQUIRE(!plan.empty());
     CHECK(plan.front().to == "server-4");
-    CHECK(plan.front().newcomer);
+    CHECK(plan.front().toEmptyServer);
 }
 
 TEST_CASE("few requests, uneven by chance, move nothing")
@@ -519,7 +519,7 @@
     // 60 requests a second of 100 ms each, remembered for 3 s.
     for (int i = 0; i < 180; ++i)
         load.add(anyKey(random), 100.0 / 3);
-    load.index();
+    load.buildPrefixSums();
     CHECK(planBalance(ranges, load, capacities(servers, 2), {}).empty());
 }
 
@@ -529,9 +529,9 @@
     for (auto& candidate : candidates) {
         candidate.workMillis = 100;
         candidate.limit = 4;
-        candidate.sameCentre = false;
+        candidate.sameDataCentre = false;
     }
-    candidates[1].sameCentre = true;
+    candidates[1].sameDataCentre = true;
     candidates[1].busy = 1;
     CHECK(chooseServer(candidates, 5) == 1);
     candidates[1].busy = 4;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -31,7 +31,7 @@
 
 SliceTable placed(const PlacementInput& input, const PlacementOptions& options = {})
 {
-    SliceTable table = firstTable("s", input, options);
+    SliceTable table = initialTable("s", input, options);
     apply(table, input, planMoves(table, input, options));
     return table;
 }
@@ -53,9 +53,9 @@
     PlacementInput input = inputOf(20);
     const SliceTable table = placed(input);
     input.servers[7].usable = false;
-    PlacementOptions still;
-    still.churnBudget = 0;
-    for (const Move& move : planMoves(table, input, still)) {
+    PlacementOptions noChurn;
+    noChurn.churnBudget = 0;
+    for (const Move& move : planMoves(table, input, noChurn)) {
         CHECK(table.serverName(table.slices[move.slice].owner) == "server-007");
         CHECK(input.servers[move.to].usable);
     }
@@ -68,12 +68,12 @@
         for (auto& server : input.servers)
             server.usable = *rc::gen::arbitrary<bool>();
         const uint64_t point = *rc::gen::arbitrary<uint64_t>();
-        Wish pin;
+        PlacementConstraint pin;
         pin.rule = PlacementRule::Pin;
         pin.points = { point };
         pin.servers = { input.servers.back().name };
-        input.wishes.push_back(pin);
-        SliceTable table = firstTable("s", input, {});
+        input.constraints.push_back(pin);
+        SliceTable table = initialTable("s", input, {});
         splitForPlan(table, input, {});
         input.sliceLoad = *rc::gen::container<std::vector<double>>(
             table.slices.size(), rc::gen::map(rc::gen::inRange(0, 1000), [](int n) { return n * 1.0; }));
@@ -95,7 +95,7 @@
             RC_ASSERT(owner == wanted);
             for (size_t i = 0; i < table.slices.size(); ++i) {
                 const bool anyUsable = std::any_of(
-                    input.servers.begin(), input.servers.end(), [](const Candidate& c) { return c.usable; });
+                    input.servers.begin(), input.servers.end(), [](const PlacementServer& c) { return c.usable; });
                 if (table.slices[i].begin != point)
                     RC_ASSERT((table.slices[i].state == SliceState::Serving) == anyUsable);
             }
@@ -136,7 +136,7 @@
     SliceTable table = placed(input);
     const size_t base = table.slices.size();
     uint64_t point = 1;
-    size_t most = 0;
+    size_t maxSliceCount = 0;
     for (int round = 0; round < 200; ++round) {
         input.sliceLoad.clear();
         for (size_t i = 0; i < table.slices.size(); ++i) // load by width
@@ -155,8 +155,8 @@
             CHECK(table.slices[table.indexOf(key.point)].begin == key.point);
         CHECK(faultOf(table).empty());
         CHECK(input.sliceLoad.size() == table.slices.size());
-        most = std::max(most, table.slices.size());
+        maxSliceCount = std::max(maxSliceCount, table.slices.size());
     }
-    constexpr size_t cutsOfFourRounds = 160;
-    CHECK(most < base + cutsOfFourRounds);
+    constexpr size_t splitsOfFourRounds = 160;
+    CHECK(maxSliceCount < base + splitsOfFourRounds);
 }
--- a/tests/protocol_model.cpp
+++ b/tests/protocol_model.cpp
@@ -328,7 +328,7 @@
         host.believesUntil = m_leaderUntil;
         AssignerOptions options;
         options.gate = m_guards.waitBeforeOwning ? GateOptions {} : GateOptions { Millis(0), Millis(-workMillis) };
-        options.placement.slicesPerServer = 1;
+        options.placement.initialSlicesPerServer = 1;
         options.evenEvery = Millis(500);
         host.assigner = std::make_unique<ServiceAssigner>(options);
         host.rosterAssigner = std::make_unique<RosterAssigner>(options.gate);
--- a/tests/relay_plan_test.cpp
+++ b/tests/relay_plan_test.cpp
@@ -33,7 +33,7 @@
     const RelayOptions options;
     for (const auto& group : planRelays(hosts, options)) {
         CHECK(seen.insert(group.relay).second);
-        CHECK(group.members.size() < options.mostMembers);
+        CHECK(group.members.size() < options.maxGroupSize);
         for (const auto& member : group.members) {
             CHECK(seen.insert(member).second);
             CHECK(byName[member]->dataCentre == byName[group.relay]->dataCentre);
--- a/tests/server_health_test.cpp
+++ b/tests/server_health_test.cpp
@@ -23,27 +23,31 @@
 {
     // A user would wait for more than 2 s after a freeze: hosts went on sending until the second missed probe,
     // and the keys could move only when the deadline of the last such request had passed.
-    ServerWatch watch({});
+    ServerMonitor watch({});
     watch.answered(now);
-    CHECK(watch.takesWork());
+    CHECK(watch.acceptsNewWork());
     watch.probeMissed(now);
-    CHECK_FALSE(watch.takesWork());
-    CHECK(watch.sight() == Sight::Reachable);
+    CHECK_FALSE(watch.acceptsNewWork());
+    CHECK(watch.reachability() == Reachability::Reachable);
     watch.probeMissed(now);
-    CHECK(watch.sight() == Sight::Silent);
+    CHECK(watch.reachability() == Reachability::Unresponsive);
     watch.answered(now);
-    CHECK(watch.takesWork());
+    CHECK(watch.acceptsNewWork());
 }
 
 TEST_CASE("one host that can't reach a server moves nothing; hosts of two data centres do")
 {
     const Roster roster = hostsIn({ "dc-1", "dc-1", "dc-2" });
-    CHECK_FALSE(isLost(
-        roster, { { "host-0", Sight::Silent }, { "host-1", Sight::Reachable }, { "host-2", Sight::Reachable } }));
+    CHECK_FALSE(isServerLost(roster,
+        { { "host-0", Reachability::Unresponsive }, { "host-1", Reachability::Reachable },
+            { "host-2", Reachability::Reachable } }));
+    CHECK_FALSE(isServerLost(roster,
+        { { "host-0", Reachability::Unresponsive }, { "host-1", Reachability::Unresponsive },
+            { "host-2", Reachability::Reachable } }));
+    CHECK(isServerLost(roster,
+        { { "host-0", Reachability::Unresponsive }, { "host-1", Reachability::Reachable },
+            { "host-2", Reachability::Refused } }));
     CHECK_FALSE(
-        isLost(roster, { { "host-0", Sight::Silent }, { "host-1", Sight::Silent }, { "host-2", Sight::Reachable } }));
-    CHECK(
-        isLost(roster, { { "host-0", Sight::Silent }, { "host-1", Sight::Reachable }, { "host-2", Sight::Refused } }));
-    CHECK_FALSE(isLost(roster, { { "host-0", Sight::Silent }, { "stranger", Sight::Silent } }));
-    CHECK_FALSE(isLost(roster, {}));
+        isServerLost(roster, { { "host-0", Reachability::Unresponsive }, { "stranger", Reachability::Unresponsive } }));
+    CHECK_FALSE(isServerLost(roster, {}));
 }
--- a/tests/warm_up_test.cpp
+++ b/tests/warm_up_test.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr WarmUpBound bound { Millis(3'000), 4 };
-constexpr double mostPerSecond = 4 * 1.5 + 8; // above it such a server may crash
+constexpr WarmUpLimit bound { Millis(3'000), 4 };
+constexpr double maxPerSecond = 4 * 1.5 + 8; // above it such a server may crash
 constexpr unsigned servers = 40;
 
-enum class Way : uint8_t {
+enum class SendingPolicy : uint8_t {
     Unlimited, // as to any other server, one at a time
-    EvenPart, // each host its part of the rate, one request saved up
+    EvenShare, // each host its part of the rate, one request saved up
     FewHosts,
 };
 
@@ -26,20 +26,20 @@
     std::string name;
     HostCount count;
     std::vector<Instant> next; // by server
-    bool cutOff = false;
+    bool disconnected = false;
 };
 
 struct Outcome {
-    size_t mostInASecond = 0; // at one server
+    size_t maxInOneSecond = 0; // at one server
     double perSecond = 0; // mean of a server
 };
 
 // Every host has a request for every server at any moment. Hosts start at odd times, are cut off from the coordinator
 // with the count that they had, and hear the count of a coordinator that has just taken over.
-Outcome play(Way way, size_t hosts, unsigned seed)
+Outcome simulate(SendingPolicy policy, size_t hosts, unsigned seed)
 {
     std::mt19937 random(seed);
-    const auto below = [&](int most) { return static_cast<int>(random() % static_cast<unsigned>(most)); };
+    const auto below = [&](int limit) { return static_cast<int>(random() % static_cast<unsigned>(limit)); };
     std::vector<Host> all(hosts);
     const Instant begin { Millis(100'000) };
     constexpr Millis length { 9'000 };
@@ -48,7 +48,7 @@
     for (size_t i = 0; i < hosts; ++i) {
         all[i].name = "host-" + std::to_string(seed) + "-" + std::to_string(i);
         all[i].next.resize(servers);
-        all[i].cutOff = below(8) == 0;
+        all[i].disconnected = below(8) == 0;
         const bool early = below(4) != 0;
         starts[i] = early ? begin - Millis(20'000) : begin + Millis(below(4'000));
         if (early)
@@ -60,13 +60,14 @@
     size_t sum = 0;
     for (Instant now = begin; now < begin + length; now += Millis(10)) {
         // The hosts that the present coordinator has heard of.
-        const auto heard = std::clamp<int64_t>((now - takeover).count(), 1, 600);
-        const size_t counted = now < takeover ? hosts : std::max<size_t>(1, hosts * static_cast<size_t>(heard) / 600);
+        const auto sinceTakeover = std::clamp<int64_t>((now - takeover).count(), 1, 600);
+        const size_t counted
+            = now < takeover ? hosts : std::max<size_t>(1, hosts * static_cast<size_t>(sinceTakeover) / 600);
         for (size_t i = 0; i < hosts; ++i) {
             Host& host = all[i];
             if (now < starts[i])
                 continue;
-            if (!host.cutOff && (now - begin).count() % 250 == static_cast<int64_t>(i % 25) * 10)
+            if (!host.disconnected && (now - begin).count() % 250 == static_cast<int64_t>(i % 25) * 10)
                 host.count.count(counted, now);
             for (unsigned server = 0; server < servers; ++server) {
                 if (now < host.next[server])
@@ -74,10 +75,10 @@
                 const auto known = host.count.settled(now);
                 const std::string name = "server-" + std::to_string(server);
                 Millis pause = work;
-                if (way == Way::EvenPart)
+                if (policy == SendingPolicy::EvenShare)
                     pause = Millis(static_cast<int64_t>(1000 * static_cast<double>(hosts) / bound.perSecond));
-                if (way == Way::FewHosts) {
-                    if (!known || !sendsWhileWarmingUp(host.name, name, *known, bound))
+                if (policy == SendingPolicy::FewHosts) {
+                    if (!known || !maySendDuringWarmUp(host.name, name, *known, bound))
                         continue;
                     pause = warmUpPause;
                 }
@@ -87,7 +88,7 @@
                 ++sum;
                 while (recent.front() + Millis(1'000) <= now)
                     recent.pop_front();
-                outcome.mostInASecond = std::max(outcome.mostInASecond, recent.size());
+                outcome.maxInOneSecond = std::max(outcome.maxInOneSecond, recent.size());
             }
         }
     }
@@ -103,22 +104,23 @@
 TEST_CASE("all hosts together keep below what a server bears that warms up")
 {
     for (const size_t hosts : { 1, 4, 58, 300 }) {
-        size_t most = 0;
+        size_t maxArrivals = 0;
         double served = 0;
-        constexpr unsigned histories = 30;
-        for (unsigned seed = 1; seed <= histories; ++seed) {
-            const Outcome outcome = play(Way::FewHosts, hosts, seed);
-            most = std::max(most, outcome.mostInASecond);
-            served += outcome.perSecond / histories;
+        constexpr unsigned runs = 30;
+        for (unsigned seed = 1; seed <= runs; ++seed) {
+            const Outcome outcome = simulate(SendingPolicy::FewHosts, hosts, seed);
+            maxArrivals = std::max(maxArrivals, outcome.maxInOneSecond);
+            served += outcome.perSecond / runs;
         }
-        const Outcome unlimited = play(Way::Unlimited, hosts, 1);
-        const Outcome even = play(Way::EvenPart, hosts, 1);
-        MESSAGE(hosts << " hosts: at most " << most << " in a second, " << served << " on average; with an even part "
-                      << even.mostInASecond << ", unlimited " << unlimited.mostInASecond);
-        CHECK(static_cast<double>(most) <= mostPerSecond);
+        const Outcome unlimited = simulate(SendingPolicy::Unlimited, hosts, 1);
+        const Outcome even = simulate(SendingPolicy::EvenShare, hosts, 1);
+        MESSAGE(hosts << " hosts: at most " << maxArrivals << " in a second, " << served
+                      << " on average; with an even part " << even.maxInOneSecond << ", unlimited "
+                      << unlimited.maxInOneSecond);
+        CHECK(static_cast<double>(maxArrivals) <= maxPerSecond);
         CHECK(served > 0.3); // a part of its callers is served meanwhile
     }
-    CHECK(static_cast<double>(play(Way::EvenPart, 58, 1).mostInASecond) > mostPerSecond);
+    CHECK(static_cast<double>(simulate(SendingPolicy::EvenShare, 58, 1).maxInOneSecond) > maxPerSecond);
 }
 
 // A coordinator that has just been elected counts the few hosts that have reported to it so far. Taken at its word,
