--- a/packages/decisions/ChangeHistory.cpp
+++ b/packages/decisions/ChangeHistory.cpp
@@ -17,7 +17,7 @@
 
 void ChangeHistory::add(int64_t after, int64_t last, std::span<const ItemChange> changes)
 {
-    // Between the two lies something that was not heard of, as after a reading of the store.
+    // The changes between m_last and `after` are unknown, as after a read of the store.
     if (after != m_last) {
         m_changes.clear();
         m_bytes = 0;
--- a/packages/decisions/HotKeys.h
+++ b/packages/decisions/HotKeys.h
@@ -1,8 +1,8 @@
 // Finds the heaviest keys in a stream with a fixed number of counters: the Space-Saving sketch.
 //
 // Metwally, Agrawal, El Abbadi, "Efficient Computation of Frequent and Top-k Elements in Data Streams" (2005).
-// An unknown key takes over the lightest counter and inherits its weight as its error; any key heavier than
-// total / capacity is surely among the counters.
+// A key without a counter replaces the key with the lightest one and inherits that weight as its error. Any key heavier
+// than total / capacity is guaranteed to have a counter.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 struct HeavyKey {
     uint64_t point = 0;
-    uint64_t weight = 0; // at least its true weight, at most error more
+    uint64_t weight = 0; // between the true weight and the true weight + error
     uint64_t error = 0;
 };
 
@@ -23,9 +23,9 @@
 public:
     explicit HotKeys(size_t capacity);
     void add(uint64_t point, uint64_t weight);
-    std::vector<HeavyKey> heaviest(size_t limit) const; // surely heavy ones first: by weight - error
+    std::vector<HeavyKey> heaviest(size_t limit) const; // ordered by guaranteed weight (weight - error)
     uint64_t total() const { return m_total; }
-    void clear(); // begins a new period
+    void clear(); // starts a new period
 
 private:
     struct Entry {
--- a/packages/decisions/KeyBalance.cpp
+++ b/packages/decisions/KeyBalance.cpp
@@ -39,15 +39,15 @@
 
     struct ServerState {
         const ServerCapacity* server = nullptr;
-        double weight = 0; // load and share of the space, in units of the mean slot
+        double weight = 0; // load and number of keys, in units of the mean slot
         double load = 0; // ms a second
         uint32_t keys = 0;
 
         double weightPerSlot() const { return weight / server->slots; }
     };
 
-    // The weight of a range: what it asks of a server, scaled so that all keys together weigh as many units as
-    // there are slots.
+    // Computes the weight of a range from its load and its number of keys, scaled so that the weight of all keys
+    // together equals the total number of slots.
     class Weigher {
     public:
         Weigher(const KeyLoad& load, double slots, double keyCountWeight)
@@ -74,16 +74,16 @@
         double weight = 0;
     };
 
-    // The piece of a range, from its end or from beside a heavy key, that weighs closest to `wanted` without being
-    // more than `most`.
+    // Splits the range into consecutive pieces and returns the heaviest. A piece weighs at most `wanted`, or is a single
+    // key of at most `maxWeight`; heavier keys are skipped.
     RangePiece choosePiece(const KeyRange& range, const Weigher& weigher, double wanted, double maxWeight)
     {
-        // Longest prefix of [first, last] that weighs no more than `wanted`, found by bisection.
+        // Longest piece from `first` on that weighs no more than `wanted`, found by bisection.
         const auto longestPrefix = [&](uint32_t first) {
             uint32_t low = first;
             uint32_t high = range.last;
             if (weigher.weightOf(first, first) > maxWeight)
-                return RangePiece { first, first, 0 }; // a heavy key: not movable
+                return RangePiece { first, first, 0 }; // a heavy key stays
             while (low < high) {
                 const uint32_t middle = low + (high - low + 1) / 2;
                 if (weigher.weightOf(first, middle) <= wanted)
@@ -95,7 +95,7 @@
         };
         RangePiece best;
         uint32_t first = range.first;
-        constexpr int maxPieces = 64; // enough for the hot keys of one server; bounds the work
+        constexpr int maxPieces = 64; // enough for the hot keys of one server; limits the computation
         for (int pieces = 0; pieces < maxPieces && first <= range.last; ++pieces) {
             const RangePiece candidate = longestPrefix(first);
             if (candidate.weight > best.weight && candidate.weight <= maxWeight)
@@ -111,7 +111,7 @@
 
 namespace {
 
-    // Leaves only what stays: the piece becomes a range that moves.
+    // Splits the piece off its range and marks it as moving to `to`.
     void splitOffPiece(std::vector<KeyRange>& ranges, size_t index, const RangePiece& split, const std::string& to)
     {
         const KeyRange whole = ranges[index];
@@ -134,8 +134,9 @@
 
 namespace {
 
-    // Load pattern: a third of a service's requests ask for one key for some seconds, more than one server can do,
-    // while the others have room. All that helps is the server at which it lies: speeds differ by three.
+    // Finds keys that overload their server on their own. Load pattern: a third of a service's requests ask for one key
+    // for some seconds, more than one server can do, while the other servers have room. Only a faster server helps, as
+    // speeds differ by a factor of three.
     class HeavyKeys {
     public:
         HeavyKeys(const KeyLoad& load, const BalanceOptions& options)
@@ -144,7 +145,7 @@
         {
         }
 
-        // The heaviest key of the range that asks for more than `slots`; nothing: none does.
+        // Returns the heaviest key of the range that overloads a server with this many slots, if there is one.
         std::optional<uint32_t> heaviestIn(const KeyRange& range, double slots) const
         {
             std::optional<uint32_t> heaviest;
@@ -169,12 +170,12 @@
         const BalanceOptions& m_options;
     };
 
-    // Moves such keys, the ranges' holders being `states`; notes where each heavy key then lies.
+    // Moves heavy keys to faster servers, and updates the ranges and the states of the servers accordingly.
     void moveHeavyKeys(std::vector<KeyRange>& ranges, std::map<std::string_view, ServerState>& states,
         const HeavyKeys& heavy, const Weigher& weigher, const BalanceOptions& options, std::vector<BalanceMove>& moves)
     {
-        std::set<std::string_view> withHeavyKey; // servers that have one: two on one server would be worse
-        std::vector<std::pair<size_t, uint32_t>> found; // range, key
+        std::set<std::string_view> withHeavyKey; // servers with a heavy key; a second one would make it worse
+        std::vector<std::pair<size_t, uint32_t>> found; // index of the range, key
         for (size_t i = 0; i < ranges.size(); ++i) {
             const auto holder = states.find(ranges[i].moving() ? ranges[i].next : ranges[i].holder);
             if (holder == states.end())
@@ -246,7 +247,7 @@
             [](const ServerState* a, const ServerState* b) { return a->weightPerSlot() < b->weightPerSlot(); });
         ServerState& target = *order.front();
         const bool toEmptyServer = !target.keys;
-        // The weights are scaled so that the mean is 1 for a slot.
+        // The weights are scaled so that the mean weight per slot is 1.
         const double room
             = (toEmptyServer ? options.newServerShare : 1 - target.weightPerSlot()) * target.server->slots;
         if (room <= 0)
@@ -274,7 +275,7 @@
                     from = i;
                 }
             }
-            constexpr double minMoveFraction = 0.1; // of what is wanted
+            constexpr double minMoveFraction = 0.1; // of the wanted weight
             if (!from || best.weight < minMoveFraction * wanted)
                 continue;
             splitOffPiece(ranges, *from, best, target.server->id);
--- a/packages/decisions/KnownChanges.cpp
+++ b/packages/decisions/KnownChanges.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-    // A gap is closed by the next report, a quarter of a second later; until then a few messages come. What exceeds
-    // this is forgotten and told again.
+    // A gap is closed by the answer to the next report, a quarter of a second later, and only a few messages arrive
+    // until then. Spans beyond this limit are dropped, and their changes sent again.
     constexpr size_t maxSpans = 64;
 
 }
--- a/packages/decisions/Placement.cpp
+++ b/packages/decisions/Placement.cpp
@@ -7,13 +7,13 @@
 
 namespace cumindale {
 
-// Sections: wishes, capacity, splits, first table, moves, imbalance.
+// Sections: constraints, capacity, splits, first table, moves, imbalance.
 
 namespace {
 
-    constexpr double minCapacity = 0.05; // slots of a server that has just started cold
+    constexpr double minCapacity = 0.05; // slots of a server at the start of its warm-up
 
-    // --- Wishes
+    // --- Constraints
 
     bool contains(const std::vector<std::string>& list, std::string_view name)
     {
@@ -25,7 +25,7 @@
         return contains(constraint.servers, server.name) || contains(constraint.dataCentres, server.dataCentre);
     }
 
-    // Wishes are few and slices many: they are resolved once into the slices that they touch.
+    // Constraints by slice. Constraints are few and slices many, so they are resolved to slices once.
     class ConstraintMap {
     public:
         ConstraintMap(const SliceTable& table, const std::vector<PlacementConstraint>& constraints)
@@ -48,7 +48,7 @@
             });
         }
 
-        // Whether a soft wish speaks against the server; such a server is taken only if there is no other.
+        // Whether the server violates a soft constraint; such a server is chosen only if there is no other.
         bool violatesPreference(size_t slice, const PlacementServer& server) const
         {
             return !all(slice, [&](const PlacementConstraint& constraint) {
@@ -88,7 +88,7 @@
         return server.usable ? std::max(minCapacity, server.slots * server.warmFraction) : 0;
     }
 
-    // The future owner of each slice, as an index into the candidates.
+    // The owner of each slice after all moves in progress, as an index into PlacementInput::servers.
     std::vector<ServerIndex> plannedOwners(const SliceTable& table, const PlacementInput& input)
     {
         std::unordered_map<std::string_view, ServerIndex> byName;
@@ -116,7 +116,7 @@
         const size_t count = table.slices.size();
         std::vector<double> result(count, 0);
         for (size_t i = 0; i < count; ++i) {
-            // Idle slices keep a little weight, by their share of the space, so that they are dealt out evenly too.
+            // Idle slices get a small weight by their share of the key space, so that they are spread evenly too.
             const double share = static_cast<double>(table.lastPointOf(i) - table.slices[i].begin) / 0x1p64;
             const double load = i < input.sliceLoad.size() ? input.sliceLoad[i] : 0;
             result[i] = total > 0 ? load / total + 0.01 * share : share;
@@ -124,7 +124,7 @@
         return result;
     }
 
-    // Servers ordered by how full they are.
+    // Servers ordered by load relative to capacity.
     class ServerUtilization {
     public:
         ServerUtilization(const std::vector<PlacementServer>& servers, const std::vector<ServerIndex>& owners,
@@ -147,7 +147,7 @@
         double with(ServerIndex server, double extra) const { return (m_load[server] + extra) / m_capacity[server]; }
         double capacity(ServerIndex server) const { return m_capacity[server]; }
         double totalCapacity() const { return std::accumulate(m_capacity.begin(), m_capacity.end(), 0.0); }
-        const std::set<std::pair<double, ServerIndex>>& order() const { return m_order; } // emptiest first
+        const std::set<std::pair<double, ServerIndex>>& order() const { return m_order; } // least loaded first
 
         void add(ServerIndex server, double weight)
         {
@@ -164,7 +164,7 @@
         std::set<std::pair<double, ServerIndex>> m_order;
     };
 
-    // The emptiest legal server; one that a soft wish speaks against only if there is no other.
+    // The least loaded server that is allowed; one that violates a soft constraint only if there is no other.
     ServerIndex bestServerFor(size_t slice, const PlacementInput& input, const ConstraintMap& constraints,
         const ServerUtilization& utilization)
     {
@@ -186,13 +186,14 @@
 
 namespace {
 
-    // Gives the key at `point` a slice of its own; `load` of its slice's load goes with it.
+    // Gives the key at `point` a slice of its own and moves `load` of the old slice's load there. Returns the number of
+    // slices added.
     size_t isolateKey(SliceTable& table, std::vector<double>& loads, uint64_t point, double load)
     {
         const size_t before = table.slices.size();
         const size_t holder = table.indexOf(point);
         if (table.slices[holder].state == SliceState::Stopping)
-            return 0; // its gate names it by its begin: it is cut after the move
+            return 0; // the stop gate identifies the slice by its begin; it is split after the move
         const bool known = !loads.empty();
         const double rest = known ? std::max(0.0, loads[holder] - load) : 0;
         const size_t own = table.splitAt(point);
@@ -233,7 +234,7 @@
     const size_t base = std::max<size_t>(1, input.servers.size() * options.initialSlicesPerServer);
     if (table.slices.size() <= base || input.sliceLoad.size() != table.slices.size())
         return 0;
-    std::set<uint64_t> keptBoundaries; // of keys that have a slice of their own for a reason
+    std::set<uint64_t> keptBoundaries; // boundaries of the slices of hot keys and of keys with constraints
     const auto keep = [&](uint64_t point) {
         keptBoundaries.insert(point);
         keptBoundaries.insert(point + 1);
@@ -289,7 +290,8 @@
 
 namespace {
 
-    // The heaviest slice of a full server whose move helps: it leaves the target emptier than the server was.
+    // The heaviest slice of an overloaded server whose move helps: after it, the target is less loaded than the server
+    // was.
     struct ReliefMove {
         size_t slice = SIZE_MAX;
         ServerIndex to = noServer;
@@ -347,7 +349,7 @@
                 m_donors.insert({ m_utilization.of(server), server });
         }
 
-        // Heaviest first, so that the light ones level what the heavy ones left uneven.
+        // Assigns the heaviest slices first, so that light ones even out the remaining differences.
         void placeUnassigned()
         {
             std::vector<size_t> unplaced;
@@ -361,7 +363,8 @@
                 unplaced.begin(), unplaced.end(), [&](size_t a, size_t b) { return m_weight[a] > m_weight[b]; });
             for (size_t slice : unplaced) {
                 const ServerIndex to = bestServerFor(slice, m_input, m_constraints, m_utilization);
-                // A soft wish is worth a move only if it comes true; otherwise two unwelcome servers would swap.
+                // A soft constraint justifies a move only if the move satisfies it. Otherwise slices would move back
+                // and forth between two servers that violate it.
                 if (hasAllowedOwner(slice)
                     && (to == noServer || m_constraints.violatesPreference(slice, m_input.servers[to])))
                     continue;
@@ -405,7 +408,8 @@
             const ServerIndex leastLoaded = m_utilization.order().begin()->second;
             for (size_t slice : slices) {
                 const double weight = m_weight[slice];
-                // A slice a little heavier than the excess still helps if the target stays below this server.
+                // A slice somewhat heavier than the excess still helps if the target stays less loaded than this
+                // server.
                 if (weight <= bestWeight || weight > budget || weight > 2 * excess)
                     continue;
                 ServerIndex to = leastLoaded;
@@ -429,7 +433,8 @@
         std::vector<double> m_weight;
         std::vector<ServerIndex> m_owners;
         ServerUtilization m_utilization;
-        std::set<std::pair<double, ServerIndex>> m_donors; // servers that may still give something away, emptiest first
+        // Servers that may still give slices away, least loaded first.
+        std::set<std::pair<double, ServerIndex>> m_donors;
         std::vector<Move> m_moves;
     };
 
--- a/packages/decisions/Placement.h
+++ b/packages/decisions/Placement.h
@@ -1,10 +1,10 @@
-// Which server should own which slice. Pure: the same input gives the same plan on every host.
+// Plans which server should own which slice. Pure functions: the same input gives the same plan on every host.
 //
-// In order: legal (never a leaving or lost server, pins kept), served (every slice has an owner if any server
-// is legal for it), even (load over slots), little churn (few moves, within a budget).
+// Goals in order of priority: constraints are met (no leaving or lost server, pins kept), every slice has an owner if
+// any server is allowed for it, the load relative to slots is even, and few slices move (within a churn budget).
 //
-// Load is slot time: milliseconds of work a second, as the hosts measured it. Before there is any, all slices
-// weigh the same.
+// Load is milliseconds of work a second, as measured by the hosts. Until there are measurements, all slices have the
+// same weight.
 #pragma once
 
 #include "base/Time.h"
@@ -19,16 +19,16 @@
 
 namespace cumindale {
 
-// A server as the planner sees it.
+// A server as input to the planner.
 struct PlacementServer {
     std::string name;
     std::string dataCentre;
     unsigned slots = 1;
-    double warmFraction = 1; // 0..1, share of its slots that a cold server may use yet
+    double warmFraction = 1; // 0..1, fraction of its slots that can be used during warm-up
     bool usable = true; // live, and neither leaving nor lost
 };
 
-// A placement wish, resolved to points.
+// A placement rule, with its keys resolved to points.
 struct PlacementConstraint {
     PlacementRule rule = PlacementRule::Prefer;
     bool wholeService = false;
@@ -37,48 +37,48 @@
     std::vector<std::string> dataCentres;
 };
 
-// A key that is hot by itself.
+// A key with enough load for a slice of its own.
 struct HotKey {
     uint64_t point = 0;
     double load = 0;
 };
 
 struct PlacementOptions {
-    unsigned initialSlicesPerServer = 16; // at the start, and the least kept by merging
+    unsigned initialSlicesPerServer = 16; // in a new table; merging keeps at least this many
     double tolerance = 0.20; // servers within mean * (1 + tolerance) are left alone
-    double churnBudget = 0.02; // most share of all load that one plan moves to make it even
-    size_t maxSlices = 40'000; // no splits beyond
+    double churnBudget = 0.02; // maximum fraction of the total load that one plan moves for balance
+    size_t maxSlices = 40'000; // no splits for hot keys beyond this
 };
 
 struct PlacementInput {
     std::vector<PlacementServer> servers; // sorted by name
-    std::vector<double> sliceLoad; // beside the table's slices; empty if not known
+    std::vector<double> sliceLoad; // parallel to the table's slices; empty if not known
     std::vector<HotKey> hotKeys; // hottest first
     std::vector<PlacementConstraint> constraints;
 };
 
-// Splits for hot keys and wishes: cuts the working table so that each such key has a slice of its own. Loads
-// are divided with it. Returns how many slices it added.
+// Splits for hot keys and constraints: cuts the working table so that each such key has a slice of its own, and
+// divides the loads accordingly. Returns the number of slices added.
 size_t splitForPlan(SliceTable&, PlacementInput&, const PlacementOptions&);
 
-// Joins neighbours of one owner that are light and were cut for a key that is no longer hot or wished for, while
-// more slices remain than at the start. Without it a hot set that changes would use up all slices. The joined
-// slice has the higher fence of the two: work under the lower one is refused by its own server at worst, and
-// then surely not run. Returns how many slices went away.
+// Merges light adjacent slices with the same owner unless their boundary belongs to a hot key or a constraint, down to
+// the initial number of slices. Without merging, a changing set of hot keys would use up all slices. The merged slice
+// takes the higher of the two fencing tokens. At worst its own server rejects work with the lower one, and that work
+// certainly did not run. Returns the number of slices removed.
 size_t mergeForPlan(SliceTable&, PlacementInput&, const PlacementOptions&);
 
-// The table of a service that has none: equal slices, dealt out by slots.
+// The first table of a service: equal slices without owners, which planMoves() then assigns.
 SliceTable initialTable(std::string_view service, const PlacementInput&, const PlacementOptions&);
 
 struct Move {
     size_t slice = 0;
-    ServerIndex to = noServer; // into PlacementInput::servers; noServer: no server is legal
+    ServerIndex to = noServer; // index into PlacementInput::servers; noServer if no server is allowed
 };
 
-// Moves that should start now. A slice that is Stopping is listed only if its successor is no longer legal.
+// Moves that should start now. A slice that is Stopping is listed only if its successor is no longer allowed.
 std::vector<Move> planMoves(const SliceTable&, const PlacementInput&, const PlacementOptions&);
 
-// Time-weighting is the caller's: the most loaded server's load over its slots, over the mean.
+// Ratio of the most loaded server's load per slot to the mean. Weighting over time is up to the caller.
 double imbalanceOf(const SliceTable&, const PlacementInput&);
 
 }
--- a/packages/decisions/RelayPlan.cpp
+++ b/packages/decisions/RelayPlan.cpp
@@ -14,7 +14,7 @@
         return a->strength != b->strength ? a->strength > b->strength : a->name < b->name;
     }
 
-    // One data centre's hosts, the best relays first.
+    // Appends the groups of one data centre. `hosts` is sorted, best relays first.
     void planDataCentre(
         std::span<const RelayCandidate* const> hosts, const RelayOptions& options, std::vector<RelayGroup>& groups)
     {
@@ -32,8 +32,9 @@
         }
     }
 
-    constexpr Millis baseDeliveryTimeout { 300 }; // hosts are a few ms apart; a lost packet is sent again after 0.2 s
-    constexpr size_t bytesPerMillisecond = 1'000; // four fifths of the smallest link of a host, 10 Mbit/s
+    // Hosts are a few ms apart; a lost packet is retransmitted after 0.2 s.
+    constexpr Millis baseDeliveryTimeout { 300 };
+    constexpr size_t bytesPerMillisecond = 1'000; // four fifths of a host's smallest link, 10 Mbit/s
 
 }
 
--- a/packages/decisions/RelayPlan.h
+++ b/packages/decisions/RelayPlan.h
@@ -1,9 +1,10 @@
-// Which hosts pass the coordinator's news on to which others.
+// Plans which hosts relay the coordinator's updates to which other hosts.
 //
-// The load that it answers: some hundred hosts and a large document, several times a second. Sent to each host by the
-// coordinator, its own link carries the document once for every host, and most of these copies cross data centres. So
-// the hosts of a data centre are cut into groups; one host of each gets the news and passes them on. A relay that falls
-// silent is found out by its next message, and its group told directly until the groups are planned anew.
+// Load pattern: some hundred hosts and a large document, several times a second. If the coordinator sent every update
+// to every host itself, its own link would carry the document once per host, and most of these copies would cross data
+// centres. So the hosts of each data centre are divided into groups. One host of each group, the relay, receives the
+// updates and forwards them to the others. A relay that stops responding is detected at the next message to it; its
+// group then receives updates directly until the groups are planned again.
 #pragma once
 
 #include "base/Time.h"
@@ -15,17 +16,18 @@
 namespace cumindale {
 
 struct RelayOptions {
-    // Members of one group, the relay included: about the root of the hosts of today's largest deployment, so that the
-    // coordinator sends about as many copies as a relay does.
+    // Members of one group, including the relay. About the square root of the number of hosts in the largest
+    // deployment, so that the coordinator sends about as many copies as a relay does.
     size_t maxGroupSize = 12;
-    size_t minGroupSize = 4; // fewer than that are told directly: a relay would save little and can be lost
+    // A data centre with fewer hosts receives updates directly: a relay would save little, and can fail.
+    size_t minGroupSize = 4;
 };
 
 struct RelayCandidate {
     std::string name;
     std::string dataCentre;
     double strength = 0; // cores
-    bool mayRelay = true; // false: it failed to lately
+    bool mayRelay = true; // false: failed as a relay recently
 };
 
 struct RelayGroup {
@@ -33,12 +35,12 @@
     std::vector<std::string> members; // without the relay
 };
 
-// Each candidate is in one group, as relay or as member; a group never spans data centres. The strongest hosts relay,
-// among equals the first by name.
+// Each candidate is in exactly one group, as relay or as member; a group never spans data centres. The strongest hosts
+// become relays; ties are broken by name.
 std::vector<RelayGroup> planRelays(std::span<const RelayCandidate>, const RelayOptions& = {});
 
-// How long a message of so many bytes may take to its receiver. Given up sooner, a large document never reaches a host
-// behind a small link: each try is cut in its midst, and the host reads the store as well.
+// Timeout for delivering a message of this size to one receiver. With a shorter timeout, a large document would never
+// reach a host behind a small link: each attempt would be aborted midway, and the host would read the store as well.
 Millis deliveryTimeout(size_t bytes);
 
 }
--- a/packages/decisions/ServerChoice.h
+++ b/packages/decisions/ServerChoice.h
@@ -1,4 +1,4 @@
-// Which server of a service without keys gets a request.
+// Chooses the server for a request to a service without keys.
 #pragma once
 
 #include <cstdint>
@@ -8,17 +8,18 @@
 namespace cumindale {
 
 struct ServerCandidate {
-    bool usable = true; // not leaving, not tried yet for this request
-    bool resting = false; // failed lately; gets work only if all others do, too
+    bool usable = true; // not leaving, and not tried yet for this request
+    bool resting = false; // failed recently; chosen only if all usable candidates have
     bool sameDataCentre = true;
-    unsigned busy = 0; // requests of this host there
-    unsigned waiting = 0; // requests of this host that wait for it
-    unsigned limit = 1; // requests that this host may have there
-    double workMillis = 0; // mean time of one request there
+    unsigned busy = 0; // requests of this host at the server
+    unsigned waiting = 0; // requests of this host that wait for the server
+    unsigned limit = 1; // requests that this host may have at the server
+    double workMillis = 0; // mean time of one request at the server
 };
 
-// The one with the shortest time to an answer, by what this host sees; a server in another data centre counts as
-// `farFactor` slower, as its bytes cost more. `random` breaks ties, so that hosts don't all pick the same one.
+// Returns the candidate with the shortest expected time to an answer, as seen by this host; nothing if none is usable.
+// The time of a server in another data centre is multiplied by `remoteFactor`, because traffic to it costs more.
+// `random` breaks ties, so that hosts don't all pick the same server.
 std::optional<size_t> chooseServer(std::span<const ServerCandidate>, uint64_t random, double remoteFactor = 1.3);
 
 }
--- a/packages/decisions/ServerHealth.cpp
+++ b/packages/decisions/ServerHealth.cpp
@@ -33,8 +33,8 @@
 
 bool ServerMonitor::acceptsNewWork() const
 {
-    // Not after the first missed probe already: what is sent to a server that turns out to be frozen must be
-    // waited for until its deadline before the keys may move.
+    // The first missed probe already stops new work. If the server turns out to be frozen, its keys can move only after
+    // the deadline of every request sent to it.
     const bool reachable = m_reachability == Reachability::Reachable || m_reachability == Reachability::Unknown;
     return reachable && !m_misses && !m_refusals;
 }
--- a/packages/decisions/ServerHealth.h
+++ b/packages/decisions/ServerHealth.h
@@ -1,8 +1,9 @@
-// Is a backend server lost? Only the hosts' own observations count; health and load endpoints lag or mislead.
+// Decides whether a backend server is lost, from the hosts' own observations alone: health and load endpoints lag or
+// mislead.
 //
-// Each host watches each server through its own probes and dispatches (ServerWatch). The assigner declares a
-// server lost when enough hosts, in more than one data centre, can't reach it (isLost). One host cut off from
-// a server is not enough: nothing moves for it.
+// Each host monitors each server through its own probes and requests (ServerMonitor). The assigner declares a server
+// lost when enough hosts, in more than one data centre, can't reach it (isServerLost). If only one host is cut off from
+// a server, nothing moves.
 #pragma once
 
 #include "base/Time.h"
@@ -18,19 +19,19 @@
 
 enum class Reachability : uint8_t {
     Unknown, // not observed yet
-    Reachable, // answered lately
-    Unresponsive, // accepts nothing or answers nothing: may be frozen, and may come back with old work
+    Reachable, // answered recently
+    Unresponsive, // no connection or no answer: may be frozen, and may resume with old work
     Refused, // connections are refused: no process listens there, so its work is gone
 };
 
 struct MonitorOptions {
     Millis probeInterval { 200 };
-    Millis probeTimeout { 300 }; // a probe without an answer for this long is missed
+    Millis probeTimeout { 300 }; // a probe without an answer within this time counts as missed
     unsigned missesUntilUnresponsive = 2;
-    unsigned refusalsUntilRefused = 2; // a server that restarts quickly refuses once
+    unsigned refusalsUntilRefused = 2; // a server that restarts quickly refuses only once
 };
 
-// One host's view of one server. Fed by probes; any answer to a dispatch counts as well.
+// One host's view of one server, updated by probes and by any answer to a request.
 class ServerMonitor {
 public:
     explicit ServerMonitor(MonitorOptions);
@@ -38,7 +39,7 @@
     void probeMissed(Instant);
     void refused(Instant);
     Reachability reachability() const { return m_reachability; }
-    bool acceptsNewWork() const; // whether this host should send it new work
+    bool acceptsNewWork() const; // whether this host should send new work to the server
     Instant lastAnswer() const { return m_lastAnswer; }
 
 private:
@@ -49,14 +50,15 @@
     Instant m_lastAnswer {};
 };
 
-// What one host sees of a server.
+// One host's view of a server.
 struct Observation {
     std::string_view host;
     Reachability reachability = Reachability::Unknown;
 };
 
-// Lost: a majority of the hosts that have an opinion, at least two of them where there are two, and in at least
-// two data centres where those hosts stand in two, can't reach it.
+// A server is lost if a majority of the hosts that have observed it can't reach it. These must be at least two hosts
+// unless the roster counts only one, and in at least two data centres unless all hosts that have observed the server
+// are in one.
 bool isServerLost(const Roster&, const std::vector<Observation>&);
 
 }
--- a/packages/decisions/ServerLimit.h
+++ b/packages/decisions/ServerLimit.h
@@ -1,18 +1,18 @@
-// How many requests one host may send to one server.
+// Limits how many requests one host may send to one server.
 //
-// A server works on a few requests at once and queues a few more for all hosts together; what comes beyond that hangs
-// or is reset, and nobody can say whether it ran. So a limit is judged by its sum over all hosts:
+// A server works on a few requests at once and queues a few more for all hosts together. Requests beyond that hang or
+// are reset, and nobody can tell whether they ran. So the limit is chosen by its sum over all hosts:
 //
-// - Nothing is known of the server's load: as many as come to a host at once where there are few hosts; one, where one
-//   from each host is already more than the server takes.
-// - The coordinator has told the host its share: that, until it answers the next report.
-// - The server is crowded, which all hosts are told: nothing without a permit, which the coordinator gives with the
-//   answer to a report. That holds for a while, also when the host has nothing there and its reports don't name the
-//   server.
+// - If nothing is known of the server's load and there are few hosts, the limit is somewhat above the slots. If one
+//   request from each host is already more than the server takes, the limit is one.
+// - If the coordinator has given the host a share, the share is the limit until the answer to the next report.
+// - If the coordinator has told all hosts that the server is crowded, nothing is sent without a permit, which the
+//   coordinator gives with the answer to a report. This state lasts for a while, also when the host has nothing at the
+//   server and its reports therefore don't name the server.
 //
 // Load pattern: 95 hosts and one key that asks for ten times what its server can do. With a fixed limit of one and a
-// half times the slots on each host most of what is sent overflows the server's queue, and hardly an answer comes
-// within its target.
+// half times the slots on each host, most requests overflow the server's queue, and hardly an answer meets its target
+// latency.
 #pragma once
 
 #include "base/Time.h"
@@ -23,16 +23,18 @@
 namespace cumindale {
 
 struct ServerLimitOptions {
-    double unsharedPerSlot
-        = 1.5; // of the slots, while the server has room: its queue takes what several hosts send at once
-    // A crowd is believed so long without being told again. Reports are at most a second apart, and one may be lost.
+    // Limit of a host without a share, for each slot, while the server has room. The server's queue absorbs what
+    // several hosts send at once.
+    double unsharedPerSlot = 1.5;
+    // How long a server stays crowded without another message from the coordinator. Reports are at most a second apart,
+    // and one may be lost.
     Millis crowdedTimeout { 2'000 };
 };
 
-// Requests that a server queues for each of its slots, at least: servers don't tell.
+// Assumed minimum of requests that a server queues for each of its slots. Servers don't publish it.
 constexpr double minQueuePerSlot = 3;
 
-// One request from each host is more than the server takes.
+// Whether one request from each host is more than the server takes.
 constexpr bool hostsExceedQueue(size_t hosts, unsigned slots)
 {
     return static_cast<double>(hosts) > (1 + minQueuePerSlot) * slots;
@@ -45,17 +47,17 @@
     {
     }
 
-    // `hosts` that send to the server; 0: not known yet.
+    // `hosts`: number of hosts that send to the server; 0 if not known yet.
     void setSlotsAndHosts(unsigned slots, size_t hosts);
 
-    // --- Told by the coordinator
+    // --- Set by the coordinator's answers
     void setShare(double);
     void setCrowded(Instant now);
-    void setUnrestricted(); // neither pressed nor crowded
-    void clearShare(); // the answer to a report leaves it out
+    void setUnrestricted(); // the server is neither under pressure nor crowded
+    void clearShare(); // call when the answer to a report omits the server
 
-    bool crowded(Instant now) const { return now < m_crowdedUntil; } // nothing without a permit
-    double value() const; // requests there at once, while it is not crowded
+    bool crowded(Instant now) const { return now < m_crowdedUntil; } // if so, send only with a permit
+    double value() const; // concurrent requests to the server while it is not crowded
 
 private:
     ServerLimitOptions m_options;
--- a/packages/decisions/SlotShares.cpp
+++ b/packages/decisions/SlotShares.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-    constexpr double lateReportTolerance = 0.5; // of a report's interval: one that comes a little late was not left out
-    constexpr double minWeight = 0.01; // of what a host said; below, it is forgotten
-    constexpr int currentForReports = 2; // what a host said of the moment holds for so many intervals
-    constexpr int answeringReports = 4; // a server that no host had an answer of for so many intervals may hang
+    // In report intervals. A report that is a little late doesn't count as missed.
+    constexpr double lateReportTolerance = 0.5;
+    constexpr double minWeight = 0.01; // a host whose last report weighs less is removed
+    constexpr int currentForReports = 2; // report intervals for which a host's present and waiting requests count
+    constexpr int answeringReports = 4; // a server without an answer for this many report intervals may hang
 
 }
 
@@ -41,7 +42,8 @@
     return missed > 0 ? std::pow(1 - m_options.smoothing, missed) : 1;
 }
 
-// One pass for all figures: the coordinator asks for them with each report of each host that has something there.
+// All totals are computed in one pass: the coordinator asks for them with each report of each host that has requests at
+// the server.
 const SlotDemand::Totals& SlotDemand::totals(Instant now)
 {
     if (m_totalsAt == now)
@@ -90,7 +92,7 @@
     return std::max(least, total * part);
 }
 
-// By what is there at the moment: means tell of a crowd when the queue has overflowed.
+// Uses current values, because means rise only after the queue has overflowed.
 bool SlotDemand::crowded(unsigned slots, Instant now)
 {
     const Totals& all = totals(now);
--- a/packages/decisions/SlotShares.h
+++ b/packages/decisions/SlotShares.h
@@ -1,10 +1,11 @@
-// How the hosts share the slots of one server.
+// Divides the slots of one server among the hosts.
 //
 // A server works on a few requests at once and queues a few more for all hosts together; beyond that it may never
-// answer. The coordinator hears what each host has there and what waits. While the server has room nobody needs a
-// share. Under pressure each host gets its part of a total that keeps the server busy without filling its queue. Where
-// a key crowds its server, dozens of hosts with one request each are already too many: then a request goes there only
-// with a permit, and what is there with what is permitted never exceeds the total.
+// answer. Each host reports to the coordinator how many requests it has at the server and how many wait for it. While
+// the server has room, no host needs a share. Under pressure each host gets a part of a total that keeps the server
+// busy without filling its queue. Where one key overloads its server, dozens of hosts with one request each are already
+// too many. The server is then "crowded": a request goes there only with a permit, and the requests at the server plus
+// the permits given never exceed the total.
 #pragma once
 
 #include "base/Time.h"
@@ -16,32 +17,34 @@
 namespace cumindale {
 
 struct ShareOptions {
-    // Below so many requests for each slot, at work or waiting, the server has room and nobody needs a share: a host
-    // must not hold a request back from a free slot because it has had its part.
+    // Requests for each slot, in flight or waiting, above which the server is under pressure. Below, it has room and no
+    // host needs a share: a host that has used up its share must not hold a request back from a free slot.
     double pressureThreshold = 0.75;
-    // Above, the requests at the server for each of its slots, over all hosts: enough that a slot that becomes free
-    // is taken at once, although hosts tell late of the end of work; few enough that an answer takes little longer than
-    // the work.
+    // Under pressure, the target number of requests at the server for each of its slots, over all hosts. It is high
+    // enough that a free slot is taken at once although hosts report the end of requests late, and low enough that an
+    // answer takes little longer than the work itself.
     double targetPerSlot = 1.8;
-    // A host always has its even part of so many for each slot, up to one request: the server's queue holds them, and
-    // what comes to a host by chance is not held back from a slot that is free.
+    // Each host always gets an even share of this many requests for each slot, up to one request. The server's queue
+    // can hold them, and a request that reaches a host by chance is not held back from a free slot.
     double evenSharePerSlot = 3;
-    // With so many requests at the server for each of its slots it is crowded. Servers queue about four for each slot;
-    // until all hosts know, as many come again.
+    // A server becomes crowded with more requests in flight for each slot than this. Servers queue about four for each
+    // slot, and as many again arrive until all hosts know.
     double crowdedInFlightPerSlot = 1.5;
-    double crowdedDemandPerSlot = 4; // the same, at the server or waiting for it
-    double uncrowdedPerSlot = 1; // at the server or waiting; below, it is no longer crowded
-    Millis expectedCrowdDuration { 2'000 }; // a crowd that moves to another server shows there within a few reports
-    double smoothing = 0.5; // of the newest report against what was known
+    double crowdedDemandPerSlot = 4; // likewise, in flight or waiting
+    double uncrowdedPerSlot = 1; // in flight or waiting; below, the server is no longer crowded
+    // How long a server is treated as crowded after a key that overloads its server moved to it. The load shows there
+    // within a few reports.
+    Millis expectedCrowdDuration { 2'000 };
+    double smoothing = 0.5; // weight of the newest report in the moving average
 };
 
-// What one host has at a server and what waits there for it.
+// One host's report on its requests for a server.
 struct Demand {
-    double inFlight = 0; // at the server, as a mean since the last report
-    double waiting = 0; // for a slot there, likewise
-    unsigned present = 0; // at the server at the moment of the report
-    unsigned waitingNow = 0;
-    unsigned overdue = 0; // of those present: most likely lost in a full server, which takes no place there
+    double inFlight = 0; // requests at the server, mean since the last report
+    double waiting = 0; // requests that wait for a slot there, mean since the last report
+    unsigned present = 0; // requests at the server at the time of the report
+    unsigned waitingNow = 0; // requests that wait at the time of the report
+    unsigned overdue = 0; // part of `present`: most likely lost in a full server, where they occupy no slot
     bool answered = false; // the server has answered since the last report
 };
 
@@ -55,59 +58,61 @@
 
     void setReportInterval(Millis interval) { m_reportInterval = interval; }
 
-    // What a host has at the server and what waits. Hosts leave servers out at which they have nothing: what is known
-    // of one that says no more counts for less with each report that it must have sent since. Load pattern: dozens of
-    // hosts that each send a server a request now and then. Counted as they last said, they made an idle server look
-    // pressed.
+    // Records a host's report. Hosts omit servers at which they have nothing, so the last values of a host that no
+    // longer names the server lose weight with each report that the host must have sent since. Load pattern: dozens of
+    // hosts that each send a server a request now and then. Counted at their last values, they made an idle server look
+    // as if it were under pressure.
     void report(std::string_view host, const Demand&, Instant now);
     double inFlight(Instant now); // of all hosts
     bool underPressure(unsigned slots, Instant now);
     void forget(std::string_view host);
-    // Of a server that isn't crowded: the part of a host, by its demand. `hosts`: that share the server.
+    // The host's share of a server that isn't crowded, in proportion to its demand. `hosts` share the server.
     double shareOf(std::string_view host, unsigned slots, size_t hosts, Instant now);
 
     // --- Crowded servers
-    bool crowded(unsigned slots, Instant now); // remembers that it was
-    void expectCrowd(Instant now); // a key that crowds its server moves to this one
-    // Requests that the host may send now, beyond what it has there: as many as it said wait, if the server has room.
-    // They count as being there until the host's next report tells what it made of them.
+    bool crowded(unsigned slots, Instant now); // also updates the state, which has hysteresis
+    void expectCrowd(Instant now); // call when a key that overloads its server moves to this one
+    // Gives the host permits for requests beyond those it has at the server: as many as it reported waiting, limited by
+    // the server's room. Permits count as requests at the server until the host's next report replaces them.
     unsigned takePermits(std::string_view host, unsigned slots, Instant now);
-    // The same, not given yet. `ahead`: beyond those that wait, for requests that come before the next report.
+    // As takePermits(), but gives none yet. `ahead`: permits beyond the waiting requests, for requests that arrive
+    // before the next report.
     unsigned permitsWanted(std::string_view host, unsigned slots, unsigned ahead, Instant now);
-    // Of a host, between two reports, at `workMillis` each.
+    // Number of requests expected from the host between two reports, each taking `workMillis`.
     unsigned expectedRequests(std::string_view host, double workMillis, Instant now) const;
     void givePermits(std::string_view host, unsigned permits);
     unsigned waitingHosts(Instant now) { return totals(now).waitingHosts; }
-    // Between two permits for one host, as things stand. `work`: of one request at the server.
+    // Expected time between two permits for one host at present demand. `workMillis`: duration of one request at the
+    // server.
     Millis permitInterval(unsigned slots, double workMillis, Instant now);
 
 private:
     struct Host {
-        double wanted = 0; // at work and waiting
-        double inFlight = 0;
+        double wanted = 0; // in flight and waiting, smoothed
+        double inFlight = 0; // smoothed
         unsigned present = 0;
         unsigned overdue = 0;
         unsigned waitingNow = 0;
-        unsigned permits = 0; // given with the answer to its last report
+        unsigned permits = 0; // given with the answer to the host's last report
         Instant lastReportAt {};
     };
     struct Totals {
         double wanted = 0;
         double inFlight = 0;
-        unsigned present = 0; // permits included
+        unsigned present = 0; // including permits
         unsigned waitingNow = 0;
         unsigned waitingHosts = 0;
     };
 
-    double weightOf(const Host&, Instant now) const; // of what it last said
+    double weightOf(const Host&, Instant now) const; // of its last report, 0..1
     const Totals& totals(Instant now);
 
     ShareOptions m_options;
-    Millis m_reportInterval { 250 }; // a host that names the server in none of these has nothing there
+    Millis m_reportInterval { 250 }; // a host whose report omits the server has nothing there
     std::map<std::string, Host, std::less<>> m_hosts;
-    Totals m_totals; // as of `m_totalsAt`; made anew after each change
+    Totals m_totals; // cached as of m_totalsAt; computed again after each change
     Instant m_totalsAt = Instant::min();
-    Instant m_lastAnswerAt {}; // the last report of an answer
+    Instant m_lastAnswerAt {}; // time of the last report that said the server has answered
     bool m_crowded = false;
     Instant m_expectedUntil {};
 };
--- a/packages/decisions/WarmUp.cpp
+++ b/packages/decisions/WarmUp.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-    // Counts must stay lower for so long before they are believed: hosts that a new coordinator has not heard of yet
-    // still send. This host may itself have been cut off, and hear first of a new coordinator.
+    // How long counts must stay lower before the lower count is used. Hosts that haven't reported to a new coordinator
+    // yet still send. This host may itself have been cut off, and its first counts may come from a new coordinator.
     constexpr Millis lowerCountDelay { 10'000 };
-    constexpr Millis maxCountGap { 3'000 }; // longer than between two counts: this host was cut off
-    // All hosts have reported to a new coordinator by then, also where they report once a second.
+    constexpr Millis maxCountGap { 3'000 }; // longer than the usual time between counts: this host was cut off
+    // By then all hosts have reported to a new coordinator, even if they report only once a second.
     constexpr Millis settlingTime { 2'000 };
-    // Of what the server takes, on average. Which hosts send is a matter of chance for each server, and now and then
-    // twice as many do.
+    // Average rate as a fraction of what the server takes. The number of hosts that send to a server varies by chance,
+    // and is now and then twice the average.
     constexpr double targetUtilization = 0.75;
 
-    // FNV-1a with a final mix (64 bits), so that the choice is the same on every host and platform.
+    // 64-bit FNV-1a with a final mix: the same result on every host and platform.
     uint64_t hashOf(std::string_view host, std::string_view server)
     {
         uint64_t hash = 0xcbf29ce484222325;
--- a/packages/decisions/WarmUp.h
+++ b/packages/decisions/WarmUp.h
@@ -1,13 +1,13 @@
-// What the hosts may send to a backend server that is warming up: after its start, or after it lost its caches.
+// Limits what the hosts send to a backend server that is warming up: after its start, or after it lost its caches.
 //
-// Such a server takes a few requests a second from all hosts together, and crashes from many more, with everything
-// that runs there. It warms up by time, not by work. So:
+// Such a server takes a few requests a second from all hosts together. Many more make it crash, with all the work that
+// runs there. It warms up by time, not by work. Therefore:
 //
-// - Nothing goes to it while another server can do the work: keys move to warm servers, and a service without keys has
-//   others to choose from.
-// - Where no server is warm, few hosts send to each, one request at a time with a pause after it. Which hosts these are
-//   follows from their names and the server's alone, so that the sum keeps below what the server takes although no host
-//   knows of the others: also of those that are cut off, start, or count fewer hosts than there are.
+// - Nothing is sent to it while another server can do the work: keys move to warm servers, and a service without keys
+//   has others to choose from.
+// - Where no server is warm, few hosts send to each, one request at a time with a pause after it. Which hosts send
+//   depends only on the names of the host and the server. So the total stays below what the server takes although no
+//   host knows of the others, including hosts that are cut off, are starting, or count too few hosts.
 //
 // Load pattern: a data centre's servers come back together, with a third of all slots, in a burst; 58 or 300 hosts of
 // which each has a request for each server at once.
@@ -22,34 +22,35 @@
 
 namespace cumindale {
 
-// As operators declare it for the servers of a service.
+// As declared by operators for the servers of a service.
 struct WarmUpLimit {
-    Millis duration { 0 }; // after a start
-    double perSecond = 0; // requests from all hosts together, borne meanwhile; 0: as many as when warm
+    Millis duration { 0 }; // after the server's start
+    double perSecond = 0; // requests that the server can take from all hosts together; 0: no limit
     bool isSet() const { return perSecond > 0; }
     bool operator==(const WarmUpLimit&) const = default;
 };
 
-// How many hosts there are, as far as this host was ever told lately. A coordinator counts those that have reported to
-// it: at first hardly any, and each host would take itself for one of few.
+// Number of hosts, from the counts that the coordinator sends. A new coordinator counts only the hosts that have
+// reported to it, at first hardly any. A host that used such a count at once would take itself for one of few and send
+// far too much. So the highest recent count is used, and a lower one takes effect only after a delay.
 class HostCount {
 public:
     void count(size_t hosts, Instant now);
-    std::optional<size_t> settled(Instant now) const; // nothing: not known for long enough
+    std::optional<size_t> settled(Instant now) const; // nothing until counts have come in for long enough
 
 private:
     size_t m_maxCount = 0;
-    std::optional<Instant> m_firstCountAt; // the first count
-    Instant m_lastCountAt {}; // the last count
-    std::optional<Instant> m_lowerSince; // all counts since then were lower than `m_most`, and came without a gap
-    size_t m_maxLowerCount = 0; // of these
+    std::optional<Instant> m_firstCountAt;
+    Instant m_lastCountAt {};
+    std::optional<Instant> m_lowerSince; // since then all counts were below m_maxCount and came without a gap
+    size_t m_maxLowerCount = 0; // highest count since m_lowerSince
 };
 
-// Whether this host is one of the few that may send to the server while it warms up.
+// Whether this host is one of the few that may send to the server during its warm-up.
 bool maySendDuringWarmUp(std::string_view host, std::string_view server, size_t hosts, const WarmUpLimit&);
 
-// Between two requests of one such host to one such server. Longer than the second in which they are counted: the way
-// of a later one may be shorter.
+// Pause between two requests of one host to one server during its warm-up. Longer than the second over which the rate
+// is counted, because the later request may have a shorter network delay.
 constexpr Millis warmUpPause { 1'300 };
 
 }
--- a/tests/change_history_test.cpp
+++ b/tests/change_history_test.cpp
@@ -1,4 +1,4 @@
-// What a host knows of the store's changes, and what it is told again of those that it missed.
+// Tracking of the store's changes that a host knows, and repetition of those that it missed.
 #include "decisions/ChangeHistory.h"
 #include "decisions/KnownChanges.h"
 #include "decisions/RelayPlan.h"
@@ -28,7 +28,7 @@
 
 }
 
-TEST_CASE("known changes are complete up to the first that is unknown, in whatever order they are heard of")
+TEST_CASE("known changes are complete up to the first unknown one, in whatever order they are received")
 {
     CHECK(rc::check([] {
         constexpr int64_t maxRevision = 60;
@@ -48,7 +48,7 @@
     }));
 }
 
-TEST_CASE("a reading closes the gap before what was heard meanwhile")
+TEST_CASE("a read of the store closes the gap before changes received meanwhile")
 {
     KnownChanges known;
     known.markCompleteUpTo(35);
@@ -59,7 +59,7 @@
     CHECK(known.complete() == 41);
 }
 
-TEST_CASE("a host is told again just what follows what it knows")
+TEST_CASE("a host receives just the changes after the revision that it knows")
 {
     ChangeHistory history;
     const std::vector<ItemChange> first { changeAt(11), changeAt(14) };
@@ -67,10 +67,11 @@
     history.add(10, 14, first);
     history.add(14, 20, second);
     CHECK(revisionsOf(*history.changesSince(10)) == std::vector<int64_t> { 11, 14, 20 });
-    CHECK(revisionsOf(*history.changesSince(12)) == std::vector<int64_t> { 14, 20 }); // known by a reading
+    // Revision 12 is known from a read of the store.
+    CHECK(revisionsOf(*history.changesSince(12)) == std::vector<int64_t> { 14, 20 });
     CHECK(history.changesSince(20)->empty());
     CHECK_FALSE(history.changesSince(9));
-    SUBCASE("a gap in what was heard of ends what can be told again")
+    SUBCASE("changes before a gap can't be repeated")
     {
         const std::vector<ItemChange> third { changeAt(31) };
         history.add(30, 31, third);
@@ -79,7 +80,7 @@
     }
 }
 
-TEST_CASE("the history is bounded, and leaves large values out")
+TEST_CASE("the history has a size limit and omits large values")
 {
     ChangeHistoryOptions options;
     options.maxBytes = 1'000;
@@ -101,9 +102,9 @@
     CHECK(missed->front().leftOutBytes == 700'000);
 }
 
-// A change of routes was in force 3.1 s late on hosts with links of 10 Mbit/s, where 2.5 s is the bound: a document of
-// 4,219 routes, 0.8 MB, was sent in full to each of them.
-TEST_CASE("a document of routes has a tenth of its bytes on its way, and is the same behind it")
+// Guards against a change of routes that took effect 3.1 s late on hosts with links of 10 Mbit/s, where the limit is
+// 2.5 s: a document of 4,219 routes, 0.8 MB, was sent uncompressed to each of them.
+TEST_CASE("a document of routes is compressed to less than a tenth and decompressed without loss")
 {
     std::string document = R"({"version":14,"routes":[)";
     constexpr int routes = 4'219;
@@ -122,13 +123,13 @@
     CHECK(inflated(deflated(""), 0) == "");
 }
 
-// A change of routes was in force late on hosts with small links: the document takes such a link 0.6 s, and each
-// message with it was given up after 0.3 s.
-TEST_CASE("a large message has the time that the smallest link takes for it")
+// Guards against a change of routes that took effect late on hosts with small links: the document takes such a link
+// 0.6 s, and each message with it timed out after 0.3 s.
+TEST_CASE("the timeout of a large message exceeds its transfer time on the smallest link")
 {
     constexpr size_t document = 700'000;
-    constexpr size_t smallestLink = 1'250; // bytes each ms
+    constexpr size_t smallestLink = 1'250; // bytes per ms
     CHECK(deliveryTimeout(300) == Millis(300));
     CHECK(deliveryTimeout(document) > Millis(document / smallestLink));
-    CHECK(deliveryTimeout(document) < Millis(1'250)); // half of the time in which routes must be in force
+    CHECK(deliveryTimeout(document) < Millis(1'250)); // half of the time within which routes must take effect
 }
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -18,7 +18,7 @@
     return input;
 }
 
-// Applies a plan as if every move were done at once.
+// Applies a plan as if all moves completed at once.
 void apply(SliceTable& table, const PlacementInput& input, const std::vector<Move>& moves)
 {
     for (const Move& move : moves) {
@@ -48,7 +48,7 @@
         CHECK(slice.state == SliceState::Serving);
 }
 
-TEST_CASE("a lost server's slices move, and only they")
+TEST_CASE("only a lost server's slices move")
 {
     PlacementInput input = inputOf(20);
     const SliceTable table = placed(input);
@@ -61,7 +61,7 @@
     }
 }
 
-TEST_CASE("never to a leaving or lost server, pinned stays pinned, and the same input gives the same plan")
+TEST_CASE("no slice moves to an unusable server, pins are kept, and the same input gives the same plan")
 {
     CHECK(rc::check([] {
         PlacementInput input = inputOf(*rc::gen::inRange<size_t>(2, 12));
@@ -103,7 +103,7 @@
     }));
 }
 
-TEST_CASE("an uneven load is made even within the churn budget, and then left alone")
+TEST_CASE("an uneven load is balanced within the churn budget, and then no slice moves")
 {
     PlacementInput input = inputOf(20);
     SliceTable table = placed(input);
@@ -128,10 +128,10 @@
     CHECK(imbalanceOf(table, input) < 1.15);
 }
 
-TEST_CASE("a hot set that changes does not use up all slices")
+TEST_CASE("a changing set of hot keys does not use up all slices")
 {
-    // Users would see hot keys stay on full servers: each key that was ever hot kept its slice, until the table had
-    // no room for the next ones.
+    // Guards against hot keys that stay on overloaded servers: each key that was ever hot kept its slice, until the
+    // table had no room for more.
     PlacementInput input = inputOf(10);
     SliceTable table = placed(input);
     const size_t base = table.slices.size();
@@ -139,7 +139,7 @@
     size_t maxSliceCount = 0;
     for (int round = 0; round < 200; ++round) {
         input.sliceLoad.clear();
-        for (size_t i = 0; i < table.slices.size(); ++i) // load by width
+        for (size_t i = 0; i < table.slices.size(); ++i) // load proportional to width
             input.sliceLoad.push_back(static_cast<double>(table.lastPointOf(i) - table.slices[i].begin) / 0x1p64);
         input.hotKeys.clear();
         for (int i = 0; i < 20; ++i)
--- a/tests/relay_plan_test.cpp
+++ b/tests/relay_plan_test.cpp
@@ -1,4 +1,4 @@
-// Which hosts pass news on: each host hears them once, and no copy crosses a data centre needlessly.
+// Relay groups: each host receives updates once, and no copy crosses data centres needlessly.
 #include "decisions/RelayPlan.h"
 
 #include <doctest/doctest.h>
@@ -43,7 +43,7 @@
     CHECK(seen.size() == hosts.size());
 }
 
-TEST_CASE("a few hosts are told directly")
+TEST_CASE("a data centre with few hosts receives updates directly")
 {
     const auto groups = planRelays(hostsIn({ 3, 3, 2 }));
     CHECK(groups.size() == 8);
@@ -61,5 +61,5 @@
     CHECK(groups.front().members.size() == 11);
     for (auto& host : hosts)
         host.mayRelay = false;
-    CHECK(planRelays(hosts).size() == 12); // nobody may: each is told directly
+    CHECK(planRelays(hosts).size() == 12); // no relay is possible: each host receives updates directly
 }
--- a/tests/server_health_test.cpp
+++ b/tests/server_health_test.cpp
@@ -19,10 +19,10 @@
 
 }
 
-TEST_CASE("the first missed probe holds new work back, the second makes the server silent")
+TEST_CASE("the first missed probe stops new work, the second makes the server unresponsive")
 {
-    // A user would wait for more than 2 s after a freeze: hosts went on sending until the second missed probe,
-    // and the keys could move only when the deadline of the last such request had passed.
+    // Guards against waits of more than 2 s after a server froze: hosts kept sending until the second missed probe, and
+    // the keys could move only after the deadline of the last such request.
     ServerMonitor watch({});
     watch.answered(now);
     CHECK(watch.acceptsNewWork());
@@ -35,7 +35,7 @@
     CHECK(watch.acceptsNewWork());
 }
 
-TEST_CASE("one host that can't reach a server moves nothing; hosts of two data centres do")
+TEST_CASE("a server is lost only if hosts of two data centres can't reach it")
 {
     const Roster roster = hostsIn({ "dc-1", "dc-1", "dc-2" });
     CHECK_FALSE(isServerLost(roster,
--- a/tests/warm_up_test.cpp
+++ b/tests/warm_up_test.cpp
@@ -1,4 +1,4 @@
-// What reaches a server that is warming up, as a sum over all hosts.
+// Requests that reach a server during its warm-up, as a sum over all hosts.
 #include "decisions/WarmUp.h"
 
 #include <algorithm>
@@ -13,12 +13,12 @@
 namespace {
 
 constexpr WarmUpLimit bound { Millis(3'000), 4 };
-constexpr double maxPerSecond = 4 * 1.5 + 8; // above it such a server may crash
+constexpr double maxPerSecond = 4 * 1.5 + 8; // above this rate, such a server may crash
 constexpr unsigned servers = 40;
 
 enum class SendingPolicy : uint8_t {
-    Unlimited, // as to any other server, one at a time
-    EvenShare, // each host its part of the rate, one request saved up
+    Unlimited, // one request at a time without a pause, as to any other server
+    EvenShare, // each host at its part of the rate, with a burst of one request
     FewHosts,
 };
 
@@ -30,12 +30,12 @@
 };
 
 struct Outcome {
-    size_t maxInOneSecond = 0; // at one server
-    double perSecond = 0; // mean of a server
+    size_t maxInOneSecond = 0; // maximum over all servers
+    double perSecond = 0; // mean per server
 };
 
-// Every host has a request for every server at any moment. Hosts start at odd times, are cut off from the coordinator
-// with the count that they had, and hear the count of a coordinator that has just taken over.
+// Simulates hosts that have a request for every server at any time. Hosts start at random times, lose the connection to
+// the coordinator and keep the count that they had, or receive the count of a coordinator that has just taken over.
 Outcome simulate(SendingPolicy policy, size_t hosts, unsigned seed)
 {
     std::mt19937 random(seed);
@@ -59,7 +59,7 @@
     Outcome outcome;
     size_t sum = 0;
     for (Instant now = begin; now < begin + length; now += Millis(10)) {
-        // The hosts that the present coordinator has heard of.
+        // Milliseconds since the takeover; the new coordinator has received reports from all hosts after 600.
         const auto sinceTakeover = std::clamp<int64_t>((now - takeover).count(), 1, 600);
         const size_t counted
             = now < takeover ? hosts : std::max<size_t>(1, hosts * static_cast<size_t>(sinceTakeover) / 600);
@@ -98,10 +98,10 @@
 
 }
 
-// What callers saw: a data centre came back after two seconds of darkness, and its servers fell over one after the
-// other as soon as they were up, for as long as the burst lasted. Each host kept to a small part, and all hosts
-// together sent several times what such a server bears.
-TEST_CASE("all hosts together keep below what a server bears that warms up")
+// Guards against servers that crash one after the other as soon as they are up, for as long as a burst lasts, after
+// their data centre was down for two seconds. Each host kept to a small part of the rate, but all hosts together sent
+// several times what a server takes during its warm-up.
+TEST_CASE("all hosts together stay below the rate that a server takes during its warm-up")
 {
     for (const size_t hosts : { 1, 4, 58, 300 }) {
         size_t maxArrivals = 0;
@@ -115,17 +115,17 @@
         const Outcome unlimited = simulate(SendingPolicy::Unlimited, hosts, 1);
         const Outcome even = simulate(SendingPolicy::EvenShare, hosts, 1);
         MESSAGE(hosts << " hosts: at most " << maxArrivals << " in a second, " << served
-                      << " on average; with an even part " << even.maxInOneSecond << ", unlimited "
+                      << " on average; with an even share " << even.maxInOneSecond << ", unlimited "
                       << unlimited.maxInOneSecond);
         CHECK(static_cast<double>(maxArrivals) <= maxPerSecond);
-        CHECK(served > 0.3); // a part of its callers is served meanwhile
+        CHECK(served > 0.3); // some requests are served during the warm-up
     }
     CHECK(static_cast<double>(simulate(SendingPolicy::EvenShare, 58, 1).maxInOneSecond) > maxPerSecond);
 }
 
-// A coordinator that has just been elected counts the few hosts that have reported to it so far. Taken at its word,
-// each of them was one of few.
-TEST_CASE("a count of hosts that has fallen is believed late, and a first one only once it has settled")
+// A newly elected coordinator counts only the few hosts that have reported to it so far. Hosts that used that count at
+// once would each take themselves for one of few.
+TEST_CASE("a lower host count takes effect after a delay, and the first count after the settling time")
 {
     const Instant begin { Millis(1'000) };
     HostCount count;
@@ -136,7 +136,7 @@
     CHECK(count.settled(begin + Millis(2'500)) == 58);
     count.count(3, begin + Millis(3'000));
     CHECK(count.settled(begin + Millis(3'000)) == 58);
-    // Cut off for half a minute, and a new coordinator again.
+    // The host was cut off for half a minute, and then a new coordinator took over.
     count.count(4, begin + Millis(30'000));
     CHECK(count.settled(begin + Millis(30'000)) == 58);
     for (Millis passed { 30'500 }; passed < Millis(41'000); passed += Millis(500))
