--- a/packages/decisions/RouteRules.h
+++ b/packages/decisions/RouteRules.h
@@ -47,7 +47,7 @@
     std::string healthPath;
     unsigned connections = 120; // maximum for each server, over all hosts
     bool keyed = false; // partitioned by key: a server runs a request only while it is granted the request's key
-    WarmUpBound warmUp {};
+    WarmUpLimit warmUp {};
 };
 
 // Limits on the size and duration of callers' requests.
--- a/packages/decisions/StopGate.h
+++ b/packages/decisions/StopGate.h
@@ -49,7 +49,7 @@
     uint64_t rosterVersion = 0;
     int64_t resourcesRevision = 0; // store revision of the configuration in force at its dispatching thread
     std::vector<BusySlice> busy; // stopping slices with dispatches in flight
-    std::map<std::string, Sight, std::less<>> sights; // its health observations, by backend server
+    std::map<std::string, Reachability, std::less<>> sights; // its health observations, by backend server
 };
 
 using HostReports = std::map<std::string, HostReport, std::less<>>;
--- a/tests/load_decisions_test.cpp
+++ b/tests/load_decisions_test.cpp
@@ -239,7 +239,7 @@
         for (size_t host = 0; host < hosts; ++host)
             demand.report(name(host), { host < 3 ? 2 : 0.05, host < 3 ? 6.0 : 0, 0, 0 }, begin);
     }
-    REQUIRE(demand.pressed(slots, begin));
+    REQUIRE(demand.underPressure(slots, begin));
     double sum = 0;
     for (size_t host = 0; host < hosts; ++host)
         sum += demand.shareOf(name(host), slots, hosts, begin);
@@ -248,7 +248,7 @@
     CHECK(sum < 20); // slots and queue
     SlotDemand idle({});
     idle.report("host-1", { 1, 0, 1, 0 }, begin);
-    CHECK_FALSE(idle.pressed(slots, begin));
+    CHECK_FALSE(idle.underPressure(slots, begin));
 }
 
 // With 67 hosts, a server with 4 slots and a queue of 16 would hang if each host sent one request at a time.
@@ -295,7 +295,7 @@
     constexpr unsigned slots = 4;
     constexpr size_t hosts = 67;
     const auto name = [](size_t host) { return "host-" + std::to_string(host); };
-    const auto total = static_cast<unsigned>(options.perSlot * slots);
+    const auto total = static_cast<unsigned>(options.targetPerSlot * slots);
     std::vector<unsigned> present(hosts, 0);
     unsigned sum = 0;
     Instant now = begin;
@@ -337,7 +337,7 @@
     Instant now = begin;
     for (int64_t i = 0; i < 5 * hosts; ++i, now += interval) {
         demand.report("host-" + std::to_string(i % hosts), { 1, 0, 1, 0 }, now);
-        CHECK_FALSE(demand.pressed(slots, now));
+        CHECK_FALSE(demand.underPressure(slots, now));
     }
     // Ten requests per second, each for one report interval: 2.5 in flight; 35 if no report expired.
     CHECK(demand.inFlight(now) > 2);
@@ -347,9 +347,9 @@
         for (const auto* host : { "host-1", "host-2", "host-3" })
             demand.report(host, { 2, 2, 2, 2 }, now);
     }
-    CHECK(demand.pressed(slots, now));
+    CHECK(demand.underPressure(slots, now));
     CHECK(demand.inFlight(now) == doctest::Approx(6).epsilon(0.05));
-    CHECK_FALSE(demand.pressed(slots, now + Millis(2'000)));
+    CHECK_FALSE(demand.underPressure(slots, now + Millis(2'000)));
 }
 
 namespace {
@@ -380,7 +380,7 @@
 {
     double sum = 0;
     for (const auto& range : ranges)
-        sum += range.holder == server ? load.of(range.first, range.last) : 0;
+        sum += range.holder == server ? load.sumOver(range.first, range.last) : 0;
     return sum;
 }
 
@@ -426,7 +426,7 @@
     std::uniform_int_distribution<uint32_t> hotKey(30'000, 30'199);
     for (int i = 0; i < 4'000; ++i)
         load.add(i % 2 ? hotKey(random) : anyKey(random), 10);
-    load.index();
+    load.buildPrefixSums();
     int moves = 0;
     for (int round = 0; round < 6; ++round) {
         const auto plan = planBalance(ranges, load, capacities(servers, 4), {});
@@ -449,7 +449,7 @@
     load.add(100, 9'000);
     for (uint32_t key = 0; key < numberedKeys; key += 64)
         load.add(key, 4);
-    load.index();
+    load.buildPrefixSums();
     for (int round = 0; round < 10; ++round) {
         const auto plan = planBalance(ranges, load, capacities(servers, 4), {});
         for (const auto& move : plan)
@@ -477,7 +477,7 @@
     load.add(hot, 100 * options.requestMillis);
     for (uint32_t key = 0; key < numberedKeys; key += 64)
         load.add(key, 200.0 * options.requestMillis / 1024);
-    load.index();
+    load.buildPrefixSums();
     const auto holderOfHot = [&] {
         const auto at = std::find_if(ranges.begin(), ranges.end(),
             [](const KeyRange& range) { return range.first <= hot && hot <= range.last; });
@@ -503,11 +503,11 @@
 {
     auto ranges = evenRanges(4);
     KeyLoad load;
-    load.index();
+    load.buildPrefixSums();
     const auto plan = planBalance(ranges, load, capacities(5, 4), {});
     REQUIRE(!plan.empty());
     CHECK(plan.front().to == "server-4");
-    CHECK(plan.front().newcomer);
+    CHECK(plan.front().toEmptyServer);
 }
 
 TEST_CASE("random imbalance of few requests moves no keys")
@@ -520,7 +520,7 @@
     // 60 requests per second of 100 ms each, over a window of 3 s.
     for (int i = 0; i < 180; ++i)
         load.add(anyKey(random), 100.0 / 3);
-    load.index();
+    load.buildPrefixSums();
     CHECK(planBalance(ranges, load, capacities(servers, 2), {}).empty());
 }
 
@@ -530,9 +530,9 @@
     for (auto& candidate : candidates) {
         candidate.workMillis = 100;
         candidate.limit = 4;
-        candidate.sameCentre = false;
+        candidate.sameDataCentre = false;
     }
-    candidates[1].sameCentre = true;
+    candidates[1].sameDataCentre = true;
     candidates[1].busy = 1;
     CHECK(chooseServer(candidates, 5) == 1);
     candidates[1].busy = 4;
--- a/tests/overload_model.cpp
+++ b/tests/overload_model.cpp
@@ -59,10 +59,10 @@
                 SimulatedHost& host = m_hosts.emplace_back();
                 host.nextReport = begin + Millis(std::llround(unit(m_random) * reportIntervalMillis()));
                 host.lastReport = host.nextReport - Millis(std::llround(reportIntervalMillis()));
-                host.limit.setSharers(scenario.slots, scenario.hosts);
+                host.limit.setSlotsAndHosts(scenario.slots, scenario.hosts);
                 host.queue.releaseSlot(priority, scenario.work, begin);
             }
-            m_demand.setReportEvery(Millis(std::llround(reportIntervalMillis())));
+            m_demand.setReportInterval(Millis(std::llround(reportIntervalMillis())));
         }
 
         OverloadResult run()
@@ -281,7 +281,7 @@
             const bool inUse = demand.inFlight > 0 || demand.waiting > 0 || demand.waitingNow;
             const bool wasInUse = std::exchange(host.wasInUse, inUse);
             if (!inUse && !(wasInUse && host.limit.crowded(now))) {
-                host.limit.dropShare();
+                host.limit.clearShare();
                 return; // the report leaves this server out
             }
             if (host.limit.crowded(now))
@@ -303,11 +303,11 @@
         {
             const std::string name = "host-" + std::to_string(number);
             m_demand.report(name, demand, now);
-            if (hostsOverflow(m_scenario.hosts, m_scenario.slots) && m_demand.crowded(m_scenario.slots, now)) {
+            if (hostsExceedQueue(m_scenario.hosts, m_scenario.slots) && m_demand.crowded(m_scenario.slots, now)) {
                 broadcastCrowded(now);
                 const unsigned permits = m_demand.takePermits(name, m_scenario.slots, now);
                 const Millis permitInterval
-                    = m_demand.permitPause(m_scenario.slots, static_cast<double>(m_scenario.work.count()), now);
+                    = m_demand.permitInterval(m_scenario.slots, static_cast<double>(m_scenario.work.count()), now);
                 schedule(now + reportRoundTrip / 2, [this, number, permits, permitInterval](Instant then) {
                     m_hosts[number].permitInterval = permitInterval;
                     m_hosts[number].limit.setCrowded(then);
@@ -315,13 +315,13 @@
                 });
                 return;
             }
-            const bool pressed = m_demand.pressed(m_scenario.slots, now);
+            const bool pressed = m_demand.underPressure(m_scenario.slots, now);
             const double share = m_demand.shareOf(name, m_scenario.slots, m_scenario.hosts, now);
             schedule(now + reportRoundTrip / 2, [this, number, pressed, share](Instant) {
                 if (pressed)
                     m_hosts[number].limit.setShare(share);
                 else
-                    m_hosts[number].limit.setRoom();
+                    m_hosts[number].limit.setUnrestricted();
             });
         }
 
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -18,7 +18,7 @@
     return input;
 }
 
-// Applies a plan as if every move were done at once.
+// Applies a plan as if all moves completed at once.
 void apply(SliceTable& table, const PlacementInput& input, const std::vector<Move>& moves)
 {
     for (const Move& move : moves) {
@@ -31,7 +31,7 @@
 
 SliceTable placed(const PlacementInput& input, const PlacementOptions& options = {})
 {
-    SliceTable table = firstTable("s", input, options);
+    SliceTable table = initialTable("s", input, options);
     apply(table, input, planMoves(table, input, options));
     return table;
 }
@@ -48,32 +48,32 @@
         CHECK(slice.state == SliceState::Serving);
 }
 
-TEST_CASE("a lost server's slices move, and only they")
+TEST_CASE("only a lost server's slices move")
 {
     PlacementInput input = inputOf(20);
     const SliceTable table = placed(input);
     input.servers[7].usable = false;
-    PlacementOptions still;
-    still.churnBudget = 0;
-    for (const Move& move : planMoves(table, input, still)) {
+    PlacementOptions noChurn;
+    noChurn.churnBudget = 0;
+    for (const Move& move : planMoves(table, input, noChurn)) {
         CHECK(table.serverName(table.slices[move.slice].owner) == "server-007");
         CHECK(input.servers[move.to].usable);
     }
 }
 
-TEST_CASE("never to a leaving or lost server, pinned stays pinned, and the same input gives the same plan")
+TEST_CASE("no slice moves to an unusable server, pins are kept, and the same input gives the same plan")
 {
     CHECK(rc::check([] {
         PlacementInput input = inputOf(*rc::gen::inRange<size_t>(2, 12));
         for (auto& server : input.servers)
             server.usable = *rc::gen::arbitrary<bool>();
         const uint64_t point = *rc::gen::arbitrary<uint64_t>();
-        Wish pin;
+        PlacementConstraint pin;
         pin.rule = PlacementRule::Pin;
         pin.points = { point };
         pin.servers = { input.servers.back().name };
-        input.wishes.push_back(pin);
-        SliceTable table = firstTable("s", input, {});
+        input.constraints.push_back(pin);
+        SliceTable table = initialTable("s", input, {});
         splitForPlan(table, input, {});
         input.sliceLoad = *rc::gen::container<std::vector<double>>(
             table.slices.size(), rc::gen::map(rc::gen::inRange(0, 1000), [](int n) { return n * 1.0; }));
@@ -95,7 +95,7 @@
             RC_ASSERT(owner == wanted);
             for (size_t i = 0; i < table.slices.size(); ++i) {
                 const bool anyUsable = std::any_of(
-                    input.servers.begin(), input.servers.end(), [](const Candidate& c) { return c.usable; });
+                    input.servers.begin(), input.servers.end(), [](const PlacementServer& c) { return c.usable; });
                 if (table.slices[i].begin != point)
                     RC_ASSERT((table.slices[i].state == SliceState::Serving) == anyUsable);
             }
@@ -103,7 +103,7 @@
     }));
 }
 
-TEST_CASE("an uneven load is made even within the churn budget, and then left alone")
+TEST_CASE("an uneven load is balanced within the churn budget, and then no slice moves")
 {
     PlacementInput input = inputOf(20);
     SliceTable table = placed(input);
@@ -128,18 +128,18 @@
     CHECK(imbalanceOf(table, input) < 1.15);
 }
 
-TEST_CASE("a hot set that changes does not use up all slices")
+TEST_CASE("a changing set of hot keys does not use up all slices")
 {
-    // Users would see hot keys stay on full servers: each key that was ever hot kept its slice, until the table had
-    // no room for the next ones.
+    // Guards against hot keys that stay on overloaded servers: each key that was ever hot kept its slice, until the
+    // table had no room for more.
     PlacementInput input = inputOf(10);
     SliceTable table = placed(input);
     const size_t base = table.slices.size();
     uint64_t point = 1;
-    size_t most = 0;
+    size_t maxSliceCount = 0;
     for (int round = 0; round < 200; ++round) {
         input.sliceLoad.clear();
-        for (size_t i = 0; i < table.slices.size(); ++i) // load by width
+        for (size_t i = 0; i < table.slices.size(); ++i) // load proportional to width
             input.sliceLoad.push_back(static_cast<double>(table.lastPointOf(i) - table.slices[i].begin) / 0x1p64);
         input.hotKeys.clear();
         for (int i = 0; i < 20; ++i)
@@ -155,8 +155,8 @@
             CHECK(table.slices[table.indexOf(key.point)].begin == key.point);
         CHECK(validationError(table).empty());
         CHECK(input.sliceLoad.size() == table.slices.size());
-        most = std::max(most, table.slices.size());
+        maxSliceCount = std::max(maxSliceCount, table.slices.size());
     }
-    constexpr size_t cutsOfFourRounds = 160;
-    CHECK(most < base + cutsOfFourRounds);
+    constexpr size_t splitsOfFourRounds = 160;
+    CHECK(maxSliceCount < base + splitsOfFourRounds);
 }
--- a/tests/protocol_model.cpp
+++ b/tests/protocol_model.cpp
@@ -328,7 +328,7 @@
         host.leaderLeaseUntil = m_leaderLeaseUntil;
         AssignerOptions options;
         options.gate = m_guards.waitBeforeOwning ? GateOptions {} : GateOptions { Millis(0), Millis(-workMillis) };
-        options.placement.slicesPerServer = 1;
+        options.placement.initialSlicesPerServer = 1;
         options.rebalanceInterval = Millis(500);
         host.assigner = std::make_unique<ServiceAssigner>(options);
         host.rosterAssigner = std::make_unique<RosterAssigner>(options.gate);
