--- a/packages/decisions/CrashEvidence.h
+++ b/packages/decisions/CrashEvidence.h
@@ -38,66 +38,67 @@
     std::vector<Fingerprint> requests;
 };
 
-class CrashWatch {
+class HostCrashTracker {
 public:
     // --- What this host sees
-    void sendLost(std::string_view server, Fingerprint, Instant now); // no answer came, and it may have run
-    void serverLives(std::string_view server); // or left in good order: what was lost there crashed nothing
+    void responseLost(std::string_view server, Fingerprint, Instant now); // no answer came, and it may have run
+    void serverAlive(std::string_view server); // or left in good order: what was lost there crashed nothing
     // It takes no requests, or another incarnation is there. Returns the requests that were there.
     std::vector<Fingerprint> serverGone(std::string_view server, Instant now);
     void answered(Fingerprint, Instant now); // by a server, whatever the answer
 
     // --- What the coordinator tells
     // Returns the suspects that a server has answered here lately.
-    std::vector<Fingerprint> told(std::set<Fingerprint> suspects, std::set<Fingerprint> quarantined, Instant now);
+    std::vector<Fingerprint> applyCoordinatorUpdate(
+        std::set<Fingerprint> suspects, std::set<Fingerprint> quarantined, Instant now);
     void repeatToNewCoordinator(); // it knows nothing of what its predecessor was told
 
     // --- What follows
-    bool suspectsAny() const { return !m_suspects.empty() || !m_own.empty(); }
-    bool quarantinesAny() const { return !m_quarantined.empty(); }
-    bool suspect(Fingerprint) const; // not to be sent a second time
-    bool quarantined(Fingerprint request) const { return m_quarantined.count(request); }
-    bool hasNews() const { return !m_crashes.empty() || !m_answered.empty(); }
+    bool hasSuspects() const { return !m_suspects.empty() || !m_ownSuspects.empty(); }
+    bool hasQuarantined() const { return !m_quarantined.empty(); }
+    bool isSuspect(Fingerprint) const; // not to be sent a second time
+    bool isQuarantined(Fingerprint request) const { return m_quarantined.count(request); }
+    bool hasUnreported() const { return !m_unreportedCrashes.empty() || !m_unreportedAnswered.empty(); }
     std::vector<ServerCrash> takeCrashes();
     std::vector<Fingerprint> takeAnswered();
-    void forgetOld(Instant now);
+    void dropExpired(Instant now);
 
 private:
-    struct LostSend {
+    struct LostRequest {
         std::string server;
         Fingerprint request = 0;
         Instant at {};
     };
-    struct OwnCrash {
+    struct RecentCrash {
         ServerCrash crash;
         Instant at {};
     };
 
     bool wasAnswered(Fingerprint, Instant now) const;
 
-    std::deque<LostSend> m_lost; // oldest first
+    std::deque<LostRequest> m_lostRequests; // oldest first
     // What servers have answered lately. A request that crashes servers is never answered: one that was a moment ago
     // was only there by chance, as the requests for a hot key are whose server crashes every few seconds.
     std::unordered_map<Fingerprint, Instant> m_answeredAt;
-    std::deque<std::pair<Fingerprint, Instant>> m_answers; // the same, oldest first
-    std::deque<OwnCrash> m_reported; // for a new coordinator
-    std::vector<ServerCrash> m_crashes; // not reported yet
-    std::set<Fingerprint> m_answered; // likewise
-    std::set<Fingerprint> m_own; // suspects of this host's own crashes
+    std::deque<std::pair<Fingerprint, Instant>> m_answersInOrder; // the same, oldest first
+    std::deque<RecentCrash> m_recentCrashes; // for a new coordinator
+    std::vector<ServerCrash> m_unreportedCrashes; // not reported yet
+    std::set<Fingerprint> m_unreportedAnswered; // likewise
+    std::set<Fingerprint> m_ownSuspects; // suspects of this host's own crashes
     std::set<Fingerprint> m_suspects; // of all hosts
     std::set<Fingerprint> m_quarantined;
 };
 
 // What the ledger makes of the reports, for the log. Requests with a single crash are left out.
 struct CrashEvent {
-    enum class What : uint8_t { Suspected, Cleared, Quarantined };
-    What what = What::Suspected;
+    enum class Kind : uint8_t { Suspected, Cleared, Quarantined };
+    Kind kind = Kind::Suspected;
     Fingerprint request = 0;
     unsigned crashes = 0;
     std::string server; // that crashed last; empty unless suspected
 };
 
-std::string_view toString(CrashEvent::What);
+std::string_view toString(CrashEvent::Kind);
 
 struct QuarantinedRequest {
     Fingerprint request = 0;
@@ -106,7 +107,7 @@
     Instant until {}; // then one try is allowed: the servers may have been mended
 };
 
-class CrashLedger {
+class CrashAggregator {
 public:
     void setReportInterval(Millis interval) { m_reportInterval = interval; } // of each host
 
@@ -130,24 +131,25 @@
 private:
     struct Suspect {
         std::set<std::string, std::less<>> servers; // that went away with it
-        Instant last {}; // crash
-        Instant nearSince {}; // hosts are told of it
+        Instant lastCrashAt {}; // crash
+        Instant nearQuarantineSince {}; // hosts are told of it
     };
 
-    Millis hostsAnswerWithin() const; // that a suspect was answered; reports of several crashes may come at once
-    void forgetOld(Instant now);
-    void forget(Fingerprint); // a suspect
-    void quarantineProven(Instant now);
-    void explain(const std::set<std::string, std::less<>>& servers); // a quarantined request was at their crashes
-    void note(CrashEvent);
+    Millis clearanceDelay() const; // that a suspect was answered; reports of several crashes may come at once
+    void dropExpired(Instant now);
+    void dropSuspect(Fingerprint); // a suspect
+    void quarantineConfirmed(Instant now);
+    void attributeCrashes(
+        const std::set<std::string, std::less<>>& servers); // a quarantined request was at their crashes
+    void addEvent(CrashEvent);
 
     Millis m_reportInterval { 250 };
     std::map<Fingerprint, Suspect> m_suspects;
     std::set<Fingerprint> m_nearQuarantine; // of these
-    Instant m_forgotAt {};
+    Instant m_expiredAt {};
     std::map<Fingerprint, QuarantinedRequest> m_quarantined;
-    std::set<std::string, std::less<>> m_explained; // servers that a quarantined request crashed
-    std::deque<std::string> m_explainedInOrder; // the same, oldest first
+    std::set<std::string, std::less<>> m_attributed; // servers that a quarantined request crashed
+    std::deque<std::string> m_attributedInOrder; // the same, oldest first
     uint64_t m_edition = 0;
     std::vector<CrashEvent> m_events;
 };
--- a/packages/decisions/RateLimit.cpp
+++ b/packages/decisions/RateLimit.cpp
@@ -9,17 +9,17 @@
 
     // What this host heard itself counts beside what the coordinator tells until that must have heard of it: two
     // reports of hundreds of hosts later.
-    constexpr Millis coordinatorHearsWithin { 2'000 };
-    constexpr Millis aloneAfter { 1'500 }; // longer than between two reports of hundreds of hosts
+    constexpr Millis maxReportDelay { 2'000 };
+    constexpr Millis coordinatorTimeout { 1'500 }; // longer than between two reports of hundreds of hosts
 
     // Of all hosts together: in four seconds a server bears half as much again as it names, and five requests more.
-    constexpr double keptForRate = 2; // turns kept, for each request a second
-    constexpr double keptBesides = 4;
-    constexpr double usedWhereKept = 0.9; // part of the limit
-    constexpr double usedWhereLapsing = 0.6; // whose turns fall together is a matter of chance
-    constexpr Millis turnLasts { 500 };
+    constexpr double capacityPerRate = 2; // turns kept, for each request a second
+    constexpr double baseCapacity = 4;
+    constexpr double bucketFraction = 0.9; // part of the limit
+    constexpr double timeSlotFraction = 0.6; // whose turns fall together is a matter of chance
+    constexpr Millis slotDuration { 500 };
     constexpr double burstSeconds = 0.5; // of permits that nobody asked for
-    constexpr double leastChange = 0.2; // of a limit, that hosts are told
+    constexpr double minPublishedChange = 0.2; // of a limit, that hosts are told
 
     Millis secondsToMillis(double seconds) { return Millis(std::llround(seconds * 1000)); }
 
@@ -27,110 +27,112 @@
 
 // --- On a host
 
-void KnownRateLimit::said(std::optional<PerSecond> limit, Instant now)
+void KnownRateLimit::heardFromServer(std::optional<PerSecond> limit, Instant now)
 {
-    const bool known = m_told || (m_said && m_said->limit);
+    const bool known = m_fromCoordinator || (m_fromServer && m_fromServer->limit);
     if (limit)
-        m_said = Said { std::max(leastRate, *limit), now };
+        m_fromServer = Observation { std::max(minLimit, *limit), now };
     else if (known)
-        m_said = Said { std::nullopt, now };
+        m_fromServer = Observation { std::nullopt, now };
 }
 
-void KnownRateLimit::told(std::optional<PerSecond> limit, Instant now)
+void KnownRateLimit::heardFromCoordinator(std::optional<PerSecond> limit, Instant now)
 {
-    m_told = limit;
-    m_toldAt = now;
+    m_fromCoordinator = limit;
+    m_coordinatorAnsweredAt = now;
 }
 
 void KnownRateLimit::repeatToNewCoordinator()
 {
-    const bool ownIsNewer = m_said && m_said->at >= m_toldAt;
-    if (m_told && !ownIsNewer)
-        m_said = Said { m_told, m_toldAt };
+    const bool serverIsNewer = m_fromServer && m_fromServer->at >= m_coordinatorAnsweredAt;
+    if (m_fromCoordinator && !serverIsNewer)
+        m_fromServer = Observation { m_fromCoordinator, m_coordinatorAnsweredAt };
 }
 
 std::optional<PerSecond> KnownRateLimit::limit() const
 {
-    const bool ownCounts = m_said && m_said->limit && m_said->at + coordinatorHearsWithin > m_toldAt;
-    return ownCounts ? m_said->limit : m_told;
+    const bool serverCounts
+        = m_fromServer && m_fromServer->limit && m_fromServer->at + maxReportDelay > m_coordinatorAnsweredAt;
+    return serverCounts ? m_fromServer->limit : m_fromCoordinator;
 }
 
-bool KnownRateLimit::isAlone(Instant now) const { return now - m_toldAt > aloneAfter; }
+bool KnownRateLimit::coordinatorSilent(Instant now) const { return now - m_coordinatorAnsweredAt > coordinatorTimeout; }
 
-std::optional<KnownRateLimit::Said> KnownRateLimit::toReport(Instant now) const
+std::optional<KnownRateLimit::Observation> KnownRateLimit::toReport(Instant now) const
 {
     // Once more after a report that may have been lost, and to a coordinator that has just begun.
     constexpr Millis repeatFor { 2'500 };
-    const bool isNews = m_said && (now - m_said->at <= repeatFor || m_said->at + coordinatorHearsWithin > m_toldAt);
-    return isNews ? m_said : std::nullopt;
+    const bool isNew = m_fromServer
+        && (now - m_fromServer->at <= repeatFor || m_fromServer->at + maxReportDelay > m_coordinatorAnsweredAt);
+    return isNew ? m_fromServer : std::nullopt;
 }
 
 // --- Turns
 
-void RateTurns::set(PerSecond limit, size_t hosts, Instant now)
+void LocalRateLimiter::setLimit(PerSecond limit, size_t hosts, Instant now)
 {
-    const auto sharers = static_cast<double>(std::max<size_t>(1, hosts));
+    const auto hostCount = static_cast<double>(std::max<size_t>(1, hosts));
     // Few hosts may keep turns until they have requests for them: should all of them have some at once, the server
     // bears it. Of many hosts' turns those that are not used lapse.
-    const double kept = (keptForRate * limit + keptBesides) / sharers;
-    m_kept.set(usedWhereKept * limit / sharers, std::floor(kept), now);
-    const Millis period = secondsToMillis(sharers / (usedWhereLapsing * limit));
-    if (m_lapses)
-        m_turn = std::min(m_turn, now + period);
+    const double capacity = (capacityPerRate * limit + baseCapacity) / hostCount;
+    m_bucket.setRate(bucketFraction * limit / hostCount, std::floor(capacity), now);
+    const Millis period = secondsToMillis(hostCount / (timeSlotFraction * limit));
+    if (m_usesTimeSlots)
+        m_slotStart = std::min(m_slotStart, now + period);
     else
-        m_turn = now + Millis(std::llround(m_phase * static_cast<double>(period.count())));
+        m_slotStart = now + Millis(std::llround(m_phase * static_cast<double>(period.count())));
     m_period = period;
-    m_lapses = kept < 1;
+    m_usesTimeSlots = capacity < 1;
 }
 
-Instant RateTurns::next(Instant now) const
+Instant LocalRateLimiter::nextSendAt(Instant now) const
 {
-    if (!m_lapses)
-        return m_kept.next(now);
-    if (now < m_turn + turnLasts)
-        return std::max(now, m_turn);
-    const int64_t missed = (now - m_turn - turnLasts).count() / std::max<int64_t>(1, m_period.count()) + 1;
-    return std::max(now, m_turn + m_period * missed);
+    if (!m_usesTimeSlots)
+        return m_bucket.nextTokenAt(now);
+    if (now < m_slotStart + slotDuration)
+        return std::max(now, m_slotStart);
+    const int64_t missedSlots = (now - m_slotStart - slotDuration).count() / std::max<int64_t>(1, m_period.count()) + 1;
+    return std::max(now, m_slotStart + m_period * missedSlots);
 }
 
-void RateTurns::take(Instant now)
+void LocalRateLimiter::recordSend(Instant now)
 {
-    m_kept.take(1, now);
-    while (m_lapses && m_turn <= now)
-        m_turn += std::max(m_period, Millis(1));
+    m_bucket.take(1, now);
+    while (m_usesTimeSlots && m_slotStart <= now)
+        m_slotStart += std::max(m_period, Millis(1));
 }
 
 // --- At the coordinator
 
-void RateLedger::said(std::string_view server, std::optional<PerSecond> limit, Instant at, Instant now)
+void GlobalRateLimiter::limitReported(std::string_view server, std::optional<PerSecond> limit, Instant at, Instant now)
 {
     const auto found = m_servers.find(server);
     if (found == m_servers.end() && !limit)
         return;
     State& state = found == m_servers.end() ? m_servers[std::string(server)] : found->second;
-    if (at < state.saidAt)
+    if (at < state.observedAt)
         return;
-    state.saidAt = at;
+    state.observedAt = at;
     if (limit)
-        limit = std::max(leastRate, *limit);
-    const double change = limit && state.toldAs > 0 ? std::abs(*limit / state.toldAs - 1) : 1;
-    const bool news = state.limit.has_value() != limit.has_value() || (limit && change > leastChange);
+        limit = std::max(minLimit, *limit);
+    const double change = limit && state.publishedLimit > 0 ? std::abs(*limit / state.publishedLimit - 1) : 1;
+    const bool mustPublish = state.limit.has_value() != limit.has_value() || (limit && change > minPublishedChange);
     state.limit = limit;
     if (limit)
-        state.permits.set(*limit, std::max(1.0, *limit * burstSeconds), now);
-    if (!news)
+        state.permits.setRate(*limit, std::max(1.0, *limit * burstSeconds), now);
+    if (!mustPublish)
         return;
-    state.toldAs = limit.value_or(0);
+    state.publishedLimit = limit.value_or(0);
     ++m_edition;
 }
 
-std::optional<PerSecond> RateLedger::limitOf(std::string_view server) const
+std::optional<PerSecond> GlobalRateLimiter::limitOf(std::string_view server) const
 {
     const auto found = m_servers.find(server);
     return found == m_servers.end() ? std::nullopt : found->second.limit;
 }
 
-unsigned RateLedger::takePermits(std::string_view server, unsigned wanted, Instant now)
+unsigned GlobalRateLimiter::takePermits(std::string_view server, unsigned wanted, Instant now)
 {
     const auto found = m_servers.find(server);
     if (found == m_servers.end() || !found->second.limit)
@@ -138,13 +140,13 @@
     return found->second.permits.take(wanted, now);
 }
 
-bool RateLedger::hasSpare(std::string_view server, Instant now) const
+bool GlobalRateLimiter::hasSpare(std::string_view server, Instant now) const
 {
     const auto found = m_servers.find(server);
     return found != m_servers.end() && found->second.permits.hasSpare(now);
 }
 
-Millis RateLedger::permitPause(std::string_view server, size_t hosts) const
+Millis GlobalRateLimiter::permitPause(std::string_view server, size_t hosts) const
 {
     const auto limit = limitOf(server);
     return limit ? secondsToMillis(static_cast<double>(std::max<size_t>(1, hosts)) / *limit) : Millis(0);
--- a/packages/decisions/RateLimit.h
+++ b/packages/decisions/RateLimit.h
@@ -29,74 +29,75 @@
 
 // Of a limit, what all hosts together may take in turns of their own: they may be cut off from a coordinator that gives
 // the whole to the others.
-constexpr double usedWithoutCoordinator = 0.5;
+constexpr double uncoordinatedFraction = 0.5;
 
 // Below, a limit counts as so much: an answer now and then must tell whether the server still names it.
-constexpr PerSecond leastRate = 0.1;
+constexpr PerSecond minLimit = 0.1;
 
 // What one host knows of one server's limit. Nothing: it names none.
 class KnownRateLimit {
 public:
-    struct Said {
+    struct Observation {
         std::optional<PerSecond> limit;
         Instant at {};
     };
 
     // --- What is heard
-    void said(std::optional<PerSecond>, Instant now); // by the server, in an answer to this host
-    void told(std::optional<PerSecond>, Instant now); // by the coordinator, with each answer to a report
+    void heardFromServer(std::optional<PerSecond>, Instant now); // by the server, in an answer to this host
+    void heardFromCoordinator(
+        std::optional<PerSecond>, Instant now); // by the coordinator, with each answer to a report
     void repeatToNewCoordinator(); // it knows nothing of what its predecessor was told
 
     // --- What follows
     std::optional<PerSecond> limit() const; // in force
-    bool isAlone(Instant now) const; // this host: no coordinator has answered it lately
-    std::optional<Said> toReport(Instant now) const; // nothing: no news
+    bool coordinatorSilent(Instant now) const; // this host: no coordinator has answered it lately
+    std::optional<Observation> toReport(Instant now) const; // nothing: no news
 
 private:
-    std::optional<Said> m_said; // nothing: never a limit, nor its end
-    std::optional<PerSecond> m_told;
-    Instant m_toldAt {};
+    std::optional<Observation> m_fromServer; // nothing: never a limit, nor its end
+    std::optional<PerSecond> m_fromCoordinator;
+    Instant m_coordinatorAnsweredAt {};
 };
 
 // The times at which one host may send a request to one server.
-class RateTurns {
+class LocalRateLimiter {
 public:
     // `phase`, from 0 to 1: of this host's first turn, at random, so that the hosts' turns are spread.
-    explicit RateTurns(double phase)
+    explicit LocalRateLimiter(double phase)
         : m_phase(phase)
     {
     }
 
-    void set(PerSecond, size_t hosts, Instant now); // before the others, and with each change
-    bool open(Instant now) const { return next(now) <= now; }
-    void take(Instant now);
-    Instant next(Instant now) const; // the first moment at which a turn is open
+    void setLimit(PerSecond, size_t hosts, Instant now); // before the others, and with each change
+    bool maySend(Instant now) const { return nextSendAt(now) <= now; }
+    void recordSend(Instant now);
+    Instant nextSendAt(Instant now) const; // the first moment at which a turn is open
 
 private:
     double m_phase;
-    bool m_lapses = false; // a turn that is not used in time is lost
-    TokenBucket m_kept; // turns, where they don't lapse
+    bool m_usesTimeSlots = false; // a turn that is not used in time is lost
+    TokenBucket m_bucket; // turns, where they don't lapse
     Millis m_period { 0 }; // between two turns, where they lapse
-    Instant m_turn {}; // the present one or the next one, likewise
+    Instant m_slotStart {}; // the present one or the next one, likewise
 };
 
 // What all hosts have heard of all servers' limits, and the permits for them.
-class RateLedger {
+class GlobalRateLimiter {
 public:
     // --- From reports: what was said last counts. Nothing: the server names no limit any more.
-    void said(std::string_view server, std::optional<PerSecond>, Instant at, Instant now);
-    template <typename Predicate> void forgetAllBut(Predicate keeps) // `keeps`: of a server's id
+    void limitReported(std::string_view server, std::optional<PerSecond>, Instant at, Instant now);
+    template <typename Predicate> void retainServers(Predicate keeps) // `keeps`: of a server's id
     {
         std::erase_if(m_servers, [&](const auto& entry) {
-            const bool forgotten = !keeps(entry.first);
-            m_edition += forgotten && entry.second.limit;
-            return forgotten;
+            const bool removed = !keeps(entry.first);
+            m_edition += removed && entry.second.limit;
+            return removed;
         });
     }
     void clear() { m_servers.clear(); }
 
     // --- What follows
-    bool limited(std::string_view server) const { return limitOf(server).has_value(); }
+    bool isLimited(std::string_view server) const { return limitOf(server).has_value(); }
     std::optional<PerSecond> limitOf(std::string_view server) const;
     template <typename Function> void forEachLimit(Function function) const // of a server's id and its limit
     {
@@ -115,8 +116,8 @@
 private:
     struct State {
         std::optional<PerSecond> limit;
-        Instant saidAt {};
-        PerSecond toldAs = 0; // in the present edition
+        Instant observedAt {};
+        PerSecond publishedLimit = 0; // in the present edition
         TokenBucket permits;
     };
 
--- a/packages/decisions/ServerNotice.h
+++ b/packages/decisions/ServerNotice.h
@@ -14,20 +14,20 @@
 namespace cumindale {
 
 struct ServerNotice {
-    bool leaves = false;
-    Millis rest { 0 }; // from the answer on
-    bool odd = false; // a part of it could not be understood, and counts as not said
+    bool leaving = false;
+    Millis retryAfter { 0 }; // from the answer on
+    bool malformed = false; // a part of it could not be understood, and counts as not said
     std::optional<double> limit; // requests a second from all hosts together
-    bool limitUnclear = false; // one is named that can't be read: what was named before goes on
+    bool limitUnreadable = false; // one is named that can't be read: what was named before goes on
 
-    bool any() const { return leaves || rest > Millis(0) || odd || limit; }
+    bool any() const { return leaving || retryAfter > Millis(0) || malformed || limit; }
     bool operator==(const ServerNotice&) const = default;
 };
 
 // `leaving`, `retryAfter`, `limit`: values of the answer's headers, empty without them; several values of one are
 // joined by commas. Rest is asked for by a refusal (503) only, in seconds with or without a fraction. Of several limits
 // the lowest counts.
-ServerNotice noticeIn(
+ServerNotice parseServerNotice(
     unsigned status, std::string_view leaving, std::string_view retryAfter, std::string_view limit = {});
 
 }
--- a/packages/decisions/TokenBucket.cpp
+++ b/packages/decisions/TokenBucket.cpp
@@ -5,32 +5,32 @@
 
 namespace cumindale {
 
-void TokenBucket::set(double perSecond, double most, Instant now)
+void TokenBucket::setRate(double perSecond, double capacity, Instant now)
 {
-    m_tokens = std::min(most, available(now));
-    m_countedAt = now;
+    m_tokens = std::min(capacity, available(now));
+    m_updatedAt = now;
     m_perSecond = perSecond;
-    m_most = most;
+    m_capacity = capacity;
 }
 
 double TokenBucket::available(Instant now) const
 {
-    const double seconds = static_cast<double>((now - m_countedAt).count()) / 1000;
-    return std::clamp(m_tokens + seconds * m_perSecond, 0.0, m_most);
+    const double seconds = static_cast<double>((now - m_updatedAt).count()) / 1000;
+    return std::clamp(m_tokens + seconds * m_perSecond, 0.0, m_capacity);
 }
 
 unsigned TokenBucket::take(unsigned wanted, Instant now)
 {
     m_tokens = available(now);
-    m_countedAt = now;
+    m_updatedAt = now;
     const unsigned taken = m_tokens < wanted ? static_cast<unsigned>(m_tokens) : wanted;
     m_tokens -= taken;
     return taken;
 }
 
-Instant TokenBucket::next(Instant now) const
+Instant TokenBucket::nextTokenAt(Instant now) const
 {
-    if (has(now))
+    if (hasToken(now))
         return now;
     if (m_perSecond <= 0)
         return Instant::max();
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -568,7 +568,7 @@
         load.decay(std::exp2(-passed / static_cast<double>(m_options.loadHalfLife.count())));
     }
     const auto registered = m_view.servers();
-    m_shares.rates().forgetAllBut([&](const std::string& server) { return registered->count(server) > 0; });
+    m_shares.rates().retainServers([&](const std::string& server) { return registered->count(server) > 0; });
     std::erase_if(m_hosts, [&](const auto& entry) {
         if (now - entry.second.heard <= m_options.hostSilence)
             return false;
@@ -692,14 +692,14 @@
 
 void Coordinator::takeRates(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
 {
-    RateLedger& rates = m_shares.rates();
+    GlobalRateLimiter& rates = m_shares.rates();
     const auto registered = m_view.servers();
     for (const auto& rate : report.rates) {
         if (!registered->count(rate.server))
             continue;
         const auto limit = rate.limited ? std::optional(rate.perSecond) : std::nullopt;
         const uint64_t before = rates.edition();
-        rates.said(rate.server, limit, now - Millis(rate.ageMillis), now);
+        rates.limitReported(rate.server, limit, now - Millis(rate.ageMillis), now);
         if (rates.edition() != before)
             logChange(LogLevel::Info, "server-limit-changed",
                 { { "server", rate.server }, { "limited", rate.limited }, { "perSecond", rate.perSecond },
@@ -746,7 +746,7 @@
     for (const auto& request : m_crashes.quarantined(now))
         quarantined.push_back(static_cast<int64_t>(request.request));
     for (const auto& event : m_crashes.takeEvents())
-        logChange(LogLevel::Warning, toString(event.what),
+        logChange(LogLevel::Warning, toString(event.kind),
             { { "fingerprint", fingerprintText(event.request) }, { "crashes", event.crashes },
                 { "server", event.server }, { "reporter", reporter } });
     if (m_crashesEdition && suspects == m_suspectsTold && quarantined == m_quarantinedTold)
@@ -787,7 +787,7 @@
         auto share = m_shares.shareFor(report.sender, use.server, server.slots, keyed, now);
         if (!share)
             continue; // there is room: the host needs no share
-        if (share->crowded && !m_shares.rates().limited(use.server))
+        if (share->crowded && !m_shares.rates().isLimited(use.server))
             crowded.push_back(use.server);
         advice.shares.push_back(std::move(*share));
     }
--- a/packages/gateway/Coordinator.h
+++ b/packages/gateway/Coordinator.h
@@ -154,7 +154,7 @@
     std::map<std::string, ServerState, std::less<>> m_servers;
     std::set<std::string, std::less<>> m_sayLeaving; // whose entries don't
     ServerShares m_shares;
-    CrashLedger m_crashes;
+    CrashAggregator m_crashes;
     uint64_t m_quarantineWritten = 0; // its edition
     uint64_t m_crashesEdition = 0; // of the two lists that follow
     std::vector<int64_t> m_suspectsTold;
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -168,7 +168,8 @@
     if (serversChanged)
         applyServers();
     if (update.crashes) {
-        const auto innocent = m_crashes.told(update.crashes->suspects, update.crashes->quarantined, m_clock.now());
+        const auto innocent
+            = m_crashes.applyCoordinatorUpdate(update.crashes->suspects, update.crashes->quarantined, m_clock.now());
         for (const Fingerprint request : innocent)
             logChange(LogLevel::Info, "suspect-answered", { { "fingerprint", fingerprintText(request) } });
         if (!innocent.empty())
@@ -176,7 +177,7 @@
     }
     if (update.newCoordinator) {
         m_crashes.repeatToNewCoordinator();
-        if (m_crashes.hasNews())
+        if (m_crashes.hasUnreported())
             reportEarly();
         for (const auto& [id, server] : m_servers)
             server->repeatRate();
@@ -700,23 +701,23 @@
 Fingerprint Gateway::fingerprintToTell(const Job& job) const
 {
     const auto& fingerprints = fingerprintsOf(job);
-    const auto quarantined = std::find_if(
-        fingerprints.begin(), fingerprints.end(), [&](Fingerprint request) { return m_crashes.quarantined(request); });
+    const auto quarantined = std::find_if(fingerprints.begin(), fingerprints.end(),
+        [&](Fingerprint request) { return m_crashes.isQuarantined(request); });
     return quarantined == fingerprints.end() ? fingerprints.front() : *quarantined;
 }
 
 bool Gateway::quarantined(const Job& job) const
 {
-    return m_crashes.quarantinesAny() && m_crashes.quarantined(fingerprintToTell(job));
+    return m_crashes.hasQuarantined() && m_crashes.isQuarantined(fingerprintToTell(job));
 }
 
 bool Gateway::suspect(const Job& job) const
 {
-    if (!m_crashes.suspectsAny())
+    if (!m_crashes.hasSuspects())
         return false;
     const auto& fingerprints = fingerprintsOf(job);
     return std::any_of(
-        fingerprints.begin(), fingerprints.end(), [&](Fingerprint request) { return m_crashes.suspect(request); });
+        fingerprints.begin(), fingerprints.end(), [&](Fingerprint request) { return m_crashes.isSuspect(request); });
 }
 
 void Gateway::noteLostSend(const Job& job, const std::shared_ptr<Upstream>& server, ErrorKind error)
@@ -727,7 +728,7 @@
         return;
     const Instant now = m_clock.now();
     for (const Fingerprint fingerprint : fingerprintsOf(job))
-        m_crashes.sendLost(server->entry.id, fingerprint, now);
+        m_crashes.responseLost(server->entry.id, fingerprint, now);
     // Some servers reset connections while they are full. There each look would be one connection more that takes a
     // place, and make more of them; a crash is seen the first time.
     constexpr Millis lookAgainAfter { 5'000 };
@@ -757,7 +758,7 @@
 {
     // One that left in good order crashed from nothing.
     if (server.leaving()) {
-        m_crashes.serverLives(server.entry.id);
+        m_crashes.serverAlive(server.entry.id);
         return;
     }
     const auto requests = m_crashes.serverGone(server.entry.id, m_clock.now());
@@ -777,29 +778,29 @@
 {
     const std::string limit = joinedValues(answer, m_names.limit);
     const ServerNotice notice
-        = noticeIn(answer.result_int(), answer[m_names.leaving], answer[http::field::retry_after], limit);
+        = parseServerNotice(answer.result_int(), answer[m_names.leaving], answer[http::field::retry_after], limit);
     const Instant now = m_clock.now();
     const std::string& id = server.entry.id;
-    if (notice.leaves && !server.saysLeaving()) {
+    if (notice.leaving && !server.saysLeaving()) {
         server.sayLeaving(now);
         m_metrics.counter("servers_saying_they_leave").add();
         logChange(LogLevel::Info, "server-says-leaving", { { "server", id }, { "request", job.id } });
         if (!server.entry.leaving)
             reportEarly();
     }
-    if (notice.rest > Millis(0)) {
+    if (notice.retryAfter > Millis(0)) {
         const bool known = server.wantsRest(now);
-        server.askForRest(now + notice.rest);
+        server.askForRest(now + notice.retryAfter);
         m_metrics.counter("server_rests").add();
         if (!known && mayLog())
             logChange(LogLevel::Info, "server-wants-rest",
-                { { "server", id }, { "request", job.id }, { "restMs", notice.rest.count() } });
+                { { "server", id }, { "request", job.id }, { "restMs", notice.retryAfter.count() } });
     }
-    if (notice.odd && !std::exchange(server.noticeIsOdd, true))
+    if (notice.malformed && !std::exchange(server.noticeIsOdd, true))
         logChange(LogLevel::Warning, "server-notice-odd",
             { { "server", id }, { "request", job.id }, { "leaving", answer[m_names.leaving] },
                 { "retryAfter", answer[http::field::retry_after] }, { "limit", limit } });
-    if (!notice.limitUnclear)
+    if (!notice.limitUnreadable)
         noteRate(job, server, notice.limit);
 }
 
@@ -940,7 +941,7 @@
     report.over = now - std::exchange(m_lastReport, now);
     report.sharesSeen = m_sharesSeen;
     report.heldBack = std::exchange(m_isHeldBack, false);
-    m_crashes.forgetOld(now);
+    m_crashes.dropExpired(now);
     report.crashes = m_crashes.takeCrashes();
     report.answered = m_crashes.takeAnswered();
     for (auto& [service, uses] : m_keyUse) {
--- a/packages/gateway/Gateway.h
+++ b/packages/gateway/Gateway.h
@@ -118,7 +118,7 @@
     int64_t m_registeredAsOf = 0; // change of the store
     size_t m_hosts = 0; // that share the servers; 0: not known yet
     HostCount m_hostCount;
-    CrashWatch m_crashes;
+    HostCrashTracker m_crashes;
     uint64_t m_sharesSeen = 0;
     std::vector<std::string> m_shared; // servers of which this host has a share
     std::map<std::string, std::shared_ptr<const GrantTable>, std::less<>> m_tables; // by service
--- a/packages/gateway/ServerShares.cpp
+++ b/packages/gateway/ServerShares.cpp
@@ -92,7 +92,7 @@
     State& state = stateOf(server);
     wire::ServerShare share;
     share.server = server;
-    if (m_rates.limited(server)) {
+    if (m_rates.isLimited(server)) {
         const unsigned waiting = state.demand.waitingHosts(now);
         unsigned ahead = !keyed && !waiting;
         if (m_rates.hasSpare(server, now))
--- a/packages/gateway/ServerShares.h
+++ b/packages/gateway/ServerShares.h
@@ -35,8 +35,8 @@
     double workMillis(const std::string& server) const; // mean over hosts and time; 0: not known
 
     // --- Limits that servers name
-    RateLedger& rates() { return m_rates; }
-    const RateLedger& rates() const { return m_rates; }
+    GlobalRateLimiter& rates() { return m_rates; }
+    const GlobalRateLimiter& rates() const { return m_rates; }
 
     // --- Crowds
     // A key that crowds its server moves to this one. `busyMillis`: of usual work a second that it asks for. False:
@@ -68,7 +68,7 @@
     // Servers to which nothing goes without a permit, and when a report last said so.
     std::map<std::string, Instant, std::less<>> m_crowded;
     std::map<std::string, State, std::less<>> m_servers;
-    RateLedger m_rates;
+    GlobalRateLimiter m_rates;
 };
 
 }
--- a/packages/gateway/Upstream.cpp
+++ b/packages/gateway/Upstream.cpp
@@ -149,7 +149,7 @@
 void Upstream::sayRate(std::optional<PerSecond> limit, Instant now)
 {
     const bool limited = rateLimit().has_value();
-    m_rate.said(limit, now);
+    m_rate.heardFromServer(limit, now);
     if (limited || rateLimit())
         applyRate(now);
 }
@@ -158,7 +158,7 @@
 {
     const bool limited = rateLimit().has_value();
     m_sharers = hosts;
-    m_rate.told(limit, now);
+    m_rate.heardFromCoordinator(limit, now);
     if (limited || rateLimit())
         applyRate(now);
 }
@@ -166,14 +166,14 @@
 void Upstream::applyRate(Instant now)
 {
     if (rateLimit() && m_sharers)
-        m_turns.set(usedWithoutCoordinator * *rateLimit(), m_sharers, now);
+        m_turns.setLimit(uncoordinatedFraction * *rateLimit(), m_sharers, now);
     applyLimit(now);
 }
 
 void Upstream::takeTurn(Instant now)
 {
     if (takesTurns(now))
-        m_turns.take(now);
+        m_turns.recordSend(now);
 }
 
 // --- Health, use
--- a/packages/gateway/Upstream.h
+++ b/packages/gateway/Upstream.h
@@ -24,7 +24,7 @@
     void setCrowded(Instant now);
     bool crowded(Instant now) const { return m_limit.crowded(now); }
     // Nothing goes there without the coordinator's permit: it is crowded, or has named a limit.
-    bool needsPermit(Instant now) const { return crowded(now) || (rateLimit() && !m_rate.isAlone(now)); }
+    bool needsPermit(Instant now) const { return crowded(now) || (rateLimit() && !m_rate.coordinatorSilent(now)); }
     bool hasPermit() const { return m_hasPermits && pool.admission().permits() > pool.admission().queued(); }
     void applyLimit(Instant now); // what was told may have lapsed
     // A report says what is at a crowded server: nothing else starts until it is answered.
@@ -36,12 +36,12 @@
     void tellRate(std::optional<PerSecond>, size_t hosts, Instant now); // by the coordinator; 0 hosts: not known
     void repeatRate() { m_rate.repeatToNewCoordinator(); }
     std::optional<PerSecond> rateLimit() const { return m_rate.limit(); }
-    std::optional<KnownRateLimit::Said> rateToReport(Instant now) const { return m_rate.toReport(now); }
+    std::optional<KnownRateLimit::Observation> rateToReport(Instant now) const { return m_rate.toReport(now); }
     // Without a coordinator this host sends in turns of its own.
     bool awaitsTurn(Instant now) const { return takesTurns(now) && nextTurn(now) > now; }
     // Neither a permit nor a turn is there, because of the limit.
     bool isAtLimit(Instant now) const { return rateLimit() && (takesTurns(now) ? nextTurn(now) > now : !hasPermit()); }
-    Instant nextTurn(Instant now) const { return m_sharers ? m_turns.next(now) : Instant::max(); }
+    Instant nextTurn(Instant now) const { return m_sharers ? m_turns.nextSendAt(now) : Instant::max(); }
     void takeTurn(Instant now);
 
     // --- Health, from real answers only
@@ -96,7 +96,7 @@
     Instant holdsNothingUntil {};
 
 private:
-    bool takesTurns(Instant now) const { return rateLimit() && m_rate.isAlone(now); }
+    bool takesTurns(Instant now) const { return rateLimit() && m_rate.coordinatorSilent(now); }
     void applyRate(Instant now);
     void setPermits(std::optional<unsigned>);
 
@@ -112,7 +112,7 @@
     Instant m_permitsUntil {};
     Instant m_mayAskFrom {}; // for a permit, whatever the pause between two
     KnownRateLimit m_rate;
-    RateTurns m_turns;
+    LocalRateLimiter m_turns;
     size_t m_sharers = 0; // hosts; 0: not known
     bool m_told = false; // in the last report
     Instant m_countedAt {};
--- a/tests/rate_limit_test.cpp
+++ b/tests/rate_limit_test.cpp
@@ -14,206 +14,211 @@
 namespace {
 
 constexpr Instant begin { Millis(100'000) };
-constexpr Millis named { 2'000 }; // the server begins to name its limit
-constexpr Millis knownWithin { 3'000 };
+constexpr Millis limitStart { 2'000 }; // the server begins to name its limit
+constexpr Millis settleTime { 3'000 };
 constexpr Millis window { 4'000 };
-constexpr Millis length { 30'000 };
+constexpr Millis duration { 30'000 };
 constexpr Millis step { 10 };
-constexpr Millis work { 120 };
-constexpr Millis patience { 1'000 }; // of callers
+constexpr Millis workDuration { 120 };
+constexpr Millis callerTimeout { 1'000 }; // of callers
 const std::string server = "s";
 
-struct Load {
+struct Scenario {
     size_t hosts = 8;
     PerSecond limit = 2;
-    PerSecond later = 2; // from the middle on
+    PerSecond laterLimit = 2; // from the middle on
     double asked = 12; // requests a second, at all hosts together
-    bool keyed = true; // only this server can run them
+    bool hasKeys = true; // only this server can run them
     Millis reportEvery { 250 };
     bool loseCoordinator = false;
-    Millis silence { 2'500 }; // then
-    bool cutHosts = false; // from the coordinator, now and then
-    size_t joining = 0; // hosts, from the middle on
+    Millis electionDuration { 2'500 }; // then
+    bool disconnectHosts = false; // from the coordinator, now and then
+    size_t joiningHosts = 0; // hosts, from the middle on
 };
 
 struct Outcome {
     size_t asked = 0; // while the limit is in force
     size_t served = 0;
     double waitedMillis = 0; // sum over those served
-    size_t most = 0; // arrivals in a window
-    size_t broken = 0; // windows with more than the server bears
+    size_t maxInWindow = 0; // arrivals in a window
+    size_t windowsOverLimit = 0; // windows with more than the server bears
 };
 
-double borne(PerSecond limit) { return 1.5 * limit * static_cast<double>(window.count()) / 1000 + 5; }
+double toleratedInWindow(PerSecond limit) { return 1.5 * limit * static_cast<double>(window.count()) / 1000 + 5; }
 
-class History {
+class Simulation {
 public:
-    History(Load load, unsigned seed)
-        : m_load(load)
+    Simulation(Scenario scenario, unsigned seed)
+        : m_scenario(scenario)
         , m_random(seed)
     {
-        for (size_t i = 0; i < load.hosts; ++i)
-            m_hosts.emplace_back(unit());
+        for (size_t i = 0; i < scenario.hosts; ++i)
+            m_hosts.emplace_back(random01());
     }
 
-    Outcome play()
+    Outcome run()
     {
-        const Instant lost = m_load.loseCoordinator ? begin + Millis(8'000 + below(8'000)) : Instant::max();
-        for (m_now = begin; m_now < begin + length; m_now += step) {
-            if (m_now >= begin + length / 2) {
-                m_limit = m_load.later;
-                for (; m_load.joining; --m_load.joining)
-                    m_hosts.emplace_back(unit());
+        const Instant coordinatorLostAt
+            = m_scenario.loseCoordinator ? begin + Millis(8'000 + below(8'000)) : Instant::max();
+        for (m_now = begin; m_now < begin + duration; m_now += step) {
+            if (m_now >= begin + duration / 2) {
+                m_limit = m_scenario.laterLimit;
+                for (; m_scenario.joiningHosts; --m_scenario.joiningHosts)
+                    m_hosts.emplace_back(random01());
             }
-            if (m_now >= lost && m_now < lost + step) {
-                m_ledger.clear();
-                m_silentUntil = m_now + m_load.silence;
+            if (m_now >= coordinatorLostAt && m_now < coordinatorLostAt + step) {
+                m_limiter.clear();
+                m_silentUntil = m_now + m_scenario.electionDuration;
                 m_newCoordinator = true;
             }
-            answer();
-            ask();
+            finishWork();
+            addArrivals();
             for (auto& host : m_hosts)
-                act(host);
+                updateHost(host);
         }
-        m_outcome.most = mostInWindow();
+        m_outcome.maxInWindow = largestWindow();
         return m_outcome;
     }
 
 private:
     struct Host {
         explicit Host(double phase)
-            : turns(phase)
+            : localLimiter(phase)
         {
         }
 
-        KnownRateLimit word;
-        RateTurns turns;
-        std::deque<Instant> waiting; // since when
+        KnownRateLimit rateLimit;
+        LocalRateLimiter localLimiter;
+        std::deque<Instant> waitingSince; // since when
         unsigned permits = 0;
-        unsigned sent = 0; // since the last report
-        Instant reported {};
-        Instant cutUntil {};
-        bool repeated = false; // to the new coordinator
+        unsigned sentSinceReport = 0; // since the last report
+        Instant reportedAt {};
+        Instant disconnectedUntil {};
+        bool repeatedToNewCoordinator = false; // to the new coordinator
     };
     struct Running {
         size_t host = 0;
-        Instant ends {};
+        Instant endsAt {};
     };
 
-    double unit() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
-    int below(int most) { return static_cast<int>(unit() * most); }
+    double random01() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
+    int below(int bound) { return static_cast<int>(random01() * bound); }
 
     void send(size_t host)
     {
         m_arrivals.push_back(m_now);
-        m_outcome.served += m_now >= begin + named + knownWithin;
-        m_running.push_back({ host, m_now + work });
+        m_outcome.served += m_now >= begin + limitStart + settleTime;
+        m_running.push_back({ host, m_now + workDuration });
     }
 
-    void answer()
+    void finishWork()
     {
-        while (!m_running.empty() && m_running.front().ends <= m_now) {
+        while (!m_running.empty() && m_running.front().endsAt <= m_now) {
             Host& host = m_hosts[m_running.front().host];
-            const bool names = m_now >= begin + named;
-            host.word.said(names ? std::optional(m_limit) : std::nullopt, m_now);
-            setTurns(host);
+            const bool announces = m_now >= begin + limitStart;
+            host.rateLimit.heardFromServer(announces ? std::optional(m_limit) : std::nullopt, m_now);
+            updateLocalLimiter(host);
             m_running.pop_front();
         }
     }
 
-    void setTurns(Host& host)
+    void updateLocalLimiter(Host& host)
     {
-        if (host.word.limit())
-            host.turns.set(usedWithoutCoordinator * *host.word.limit(), m_hosts.size(), m_now);
+        if (host.rateLimit.limit())
+            host.localLimiter.setLimit(uncoordinatedFraction * *host.rateLimit.limit(), m_hosts.size(), m_now);
     }
 
-    void ask()
+    void addArrivals()
     {
-        std::poisson_distribution<int> arrivals(m_load.asked * static_cast<double>(step.count()) / 1000);
+        std::poisson_distribution<int> arrivals(m_scenario.asked * static_cast<double>(step.count()) / 1000);
         for (int count = arrivals(m_random); count > 0; --count) {
-            m_outcome.asked += m_now >= begin + named + knownWithin;
-            m_hosts[static_cast<size_t>(below(static_cast<int>(m_hosts.size())))].waiting.push_back(m_now);
+            m_outcome.asked += m_now >= begin + limitStart + settleTime;
+            m_hosts[static_cast<size_t>(below(static_cast<int>(m_hosts.size())))].waitingSince.push_back(m_now);
         }
     }
 
-    void act(Host& host)
+    void updateHost(Host& host)
     {
         const size_t number = static_cast<size_t>(&host - &m_hosts.front());
-        while (!host.waiting.empty() && m_now - host.waiting.front() > patience)
-            host.waiting.pop_front();
-        if (m_load.cutHosts && below(3'000) == 0)
-            host.cutUntil = m_now + Millis(below(8'000));
-        const bool early = !host.waiting.empty() && needsPermit(host);
-        const auto least = std::chrono::duration_cast<Millis>(m_load.reportEvery * (early ? 0.4 : 1.0));
-        const bool hears = m_now >= m_silentUntil && m_now >= host.cutUntil;
-        if (hears && m_now - host.reported >= least)
+        while (!host.waitingSince.empty() && m_now - host.waitingSince.front() > callerTimeout)
+            host.waitingSince.pop_front();
+        if (m_scenario.disconnectHosts && below(3'000) == 0)
+            host.disconnectedUntil = m_now + Millis(below(8'000));
+        const bool early = !host.waitingSince.empty() && needsPermit(host);
+        const auto minInterval = std::chrono::duration_cast<Millis>(m_scenario.reportEvery * (early ? 0.4 : 1.0));
+        const bool connected = m_now >= m_silentUntil && m_now >= host.disconnectedUntil;
+        if (connected && m_now - host.reportedAt >= minInterval)
             report(host);
-        while (!host.waiting.empty() && maySend(host)) {
-            m_outcome.waitedMillis += static_cast<double>((m_now - host.waiting.front()).count());
-            host.waiting.pop_front();
-            ++host.sent;
+        while (!host.waitingSince.empty() && maySend(host)) {
+            m_outcome.waitedMillis += static_cast<double>((m_now - host.waitingSince.front()).count());
+            host.waitingSince.pop_front();
+            ++host.sentSinceReport;
             send(number);
         }
-        const bool elsewhere = !m_load.keyed || host.word.isAlone(m_now);
-        if (host.word.limit() && elsewhere)
-            host.waiting.clear(); // another server has them, or they are refused
+        const bool sendsElsewhere = !m_scenario.hasKeys || host.rateLimit.coordinatorSilent(m_now);
+        if (host.rateLimit.limit() && sendsElsewhere)
+            host.waitingSince.clear(); // another server has them, or they are refused
     }
 
-    bool needsPermit(const Host& host) const { return host.word.limit() && !host.word.isAlone(m_now); }
+    bool needsPermit(const Host& host) const
+    {
+        return host.rateLimit.limit() && !host.rateLimit.coordinatorSilent(m_now);
+    }
 
     bool maySend(Host& host)
     {
-        if (!host.word.limit())
+        if (!host.rateLimit.limit())
             return true;
         if (needsPermit(host)) {
             const bool may = host.permits > 0;
             host.permits -= may;
             return may;
         }
-        const bool may = host.turns.open(m_now);
+        const bool may = host.localLimiter.maySend(m_now);
         if (may)
-            host.turns.take(m_now);
+            host.localLimiter.recordSend(m_now);
         return may;
     }
 
     void report(Host& host)
     {
-        host.reported = m_now;
-        if (m_newCoordinator && !std::exchange(host.repeated, true))
-            host.word.repeatToNewCoordinator();
-        if (const auto said = host.word.toReport(m_now))
-            m_ledger.said(server, said->limit, said->at, m_now);
-        host.word.told(m_ledger.limitOf(server), m_now);
-        setTurns(host);
-        const unsigned ahead = std::max<unsigned>(!m_load.keyed, m_ledger.hasSpare(server, m_now) ? host.sent : 0);
-        const auto wanted = static_cast<unsigned>(host.waiting.size()) + ahead;
-        host.permits = needsPermit(host) ? m_ledger.takePermits(server, wanted, m_now) : 0;
-        host.sent = 0;
+        host.reportedAt = m_now;
+        if (m_newCoordinator && !std::exchange(host.repeatedToNewCoordinator, true))
+            host.rateLimit.repeatToNewCoordinator();
+        if (const auto observation = host.rateLimit.toReport(m_now))
+            m_limiter.limitReported(server, observation->limit, observation->at, m_now);
+        host.rateLimit.heardFromCoordinator(m_limiter.limitOf(server), m_now);
+        updateLocalLimiter(host);
+        const unsigned extra
+            = std::max<unsigned>(!m_scenario.hasKeys, m_limiter.hasSpare(server, m_now) ? host.sentSinceReport : 0);
+        const auto wanted = static_cast<unsigned>(host.waitingSince.size()) + extra;
+        host.permits = needsPermit(host) ? m_limiter.takePermits(server, wanted, m_now) : 0;
+        host.sentSinceReport = 0;
     }
 
     // While the limit has been the same for a while.
-    size_t mostInWindow()
+    size_t largestWindow()
     {
-        size_t most = 0;
+        size_t maxInWindow = 0;
         for (auto first = m_arrivals.begin(); first != m_arrivals.end(); ++first) {
-            const bool changed = m_load.later != m_load.limit && *first + window > begin + length / 2
-                && *first < begin + length / 2 + knownWithin;
-            if (*first < begin + named + knownWithin || changed)
+            const bool changed = m_scenario.laterLimit != m_scenario.limit && *first + window > begin + duration / 2
+                && *first < begin + duration / 2 + settleTime;
+            if (*first < begin + limitStart + settleTime || changed)
                 continue;
             const auto last = std::lower_bound(first, m_arrivals.end(), *first + window);
-            const PerSecond limit = *first < begin + length / 2 ? m_load.limit : m_load.later;
+            const PerSecond limit = *first < begin + duration / 2 ? m_scenario.limit : m_scenario.laterLimit;
             const auto count = static_cast<size_t>(last - first);
-            m_outcome.broken += static_cast<double>(count) > borne(limit);
-            most = std::max(most, count);
+            m_outcome.windowsOverLimit += static_cast<double>(count) > toleratedInWindow(limit);
+            maxInWindow = std::max(maxInWindow, count);
         }
-        return most;
+        return maxInWindow;
     }
 
-    Load m_load;
+    Scenario m_scenario;
     std::mt19937 m_random;
     std::vector<Host> m_hosts;
-    PerSecond m_limit = m_load.limit;
-    RateLedger m_ledger;
+    PerSecond m_limit = m_scenario.limit;
+    GlobalRateLimiter m_limiter;
     Instant m_silentUntil {};
     bool m_newCoordinator = false;
     std::deque<Running> m_running;
@@ -222,42 +227,42 @@
     Outcome m_outcome;
 };
 
-Outcome playMany(const Load& load, unsigned histories)
+Outcome runMany(const Scenario& scenario, unsigned runs)
 {
     Outcome sum;
-    for (unsigned seed = 1; seed <= histories; ++seed) {
-        const Outcome one = History(load, seed).play();
+    for (unsigned seed = 1; seed <= runs; ++seed) {
+        const Outcome one = Simulation(scenario, seed).run();
         sum.asked += one.asked;
         sum.served += one.served;
         sum.waitedMillis += one.waitedMillis;
-        sum.most = std::max(sum.most, one.most);
-        sum.broken += one.broken;
+        sum.maxInWindow = std::max(sum.maxInWindow, one.maxInWindow);
+        sum.windowsOverLimit += one.windowsOverLimit;
     }
     return sum;
 }
 
-constexpr unsigned histories = 40;
-constexpr double secondsLimited = 25; // in each
+constexpr unsigned runs = 40;
+constexpr double limitedSeconds = 25; // in each
 
 }
 
 namespace {
 
 // At many sizes of fleet and many limits; `adapt` sets what is special.
-template <typename Adapt> void checkSums(Adapt adapt)
+template <typename Adapt> void checkRateSums(Adapt adapt)
 {
     for (const size_t hosts : { 4, 8, 58, 300 }) {
         for (const PerSecond limit : { 0.0, 0.5, 1.6, 2.6, 20.0 }) {
-            Load load;
-            load.hosts = hosts;
-            load.reportEvery = Millis(hosts > 80 ? 940 : 250);
-            load.limit = load.later = limit;
-            load.asked = 6 * limit + 4;
-            adapt(load);
-            const Outcome outcome = playMany(load, histories);
-            MESSAGE(hosts << " hosts, limit " << limit << ": " << outcome.most << " at most, served "
-                          << static_cast<double>(outcome.served) / secondsLimited / histories << " a second");
-            CHECK(outcome.broken == 0);
+            Scenario scenario;
+            scenario.hosts = hosts;
+            scenario.reportEvery = Millis(hosts > 80 ? 940 : 250);
+            scenario.limit = scenario.laterLimit = limit;
+            scenario.asked = 6 * limit + 4;
+            adapt(scenario);
+            const Outcome outcome = runMany(scenario, runs);
+            MESSAGE(hosts << " hosts, limit " << limit << ": " << outcome.maxInWindow << " at most, served "
+                          << static_cast<double>(outcome.served) / limitedSeconds / runs << " a second");
+            CHECK(outcome.windowsOverLimit == 0);
         }
     }
 }
@@ -267,39 +272,39 @@
 // Guards against hosts that each take a server's limit for their own, or spend what others have spent.
 TEST_CASE("all hosts together send the owner of a key no more than it names")
 {
-    checkSums([](Load&) {});
+    checkRateSums([](Scenario&) {});
 }
 
 // Guards against a new coordinator that doesn't know what hosts have spent, and hosts that go on alone.
 TEST_CASE("all hosts together keep to a limit while the coordinator is lost")
 {
-    checkSums([](Load& load) { load.loseCoordinator = true; });
+    checkRateSums([](Scenario& scenario) { scenario.loseCoordinator = true; });
 }
 
 // Guards against hosts that come back, or join, and go by what they know.
 TEST_CASE("all hosts together keep to a limit while some are cut off and back")
 {
-    checkSums([](Load& load) { load.cutHosts = true; });
+    checkRateSums([](Scenario& scenario) { scenario.disconnectHosts = true; });
 }
 
 TEST_CASE("all hosts together keep to a limit while as many again join")
 {
-    checkSums([](Load& load) { load.joining = load.hosts; });
+    checkRateSums([](Scenario& scenario) { scenario.joiningHosts = scenario.hosts; });
 }
 
 // Guards against hosts that each take their part where it is less than one request.
 TEST_CASE("all hosts together send a server without keys no more than it names")
 {
-    checkSums([](Load& load) { load.keyed = false; });
+    checkRateSums([](Scenario& scenario) { scenario.hasKeys = false; });
 }
 
 // Guards against turns that fall together when every host has a request for each.
 TEST_CASE("all hosts together keep to a limit without a coordinator also where there is always a request")
 {
-    checkSums([](Load& load) {
-        load.loseCoordinator = true;
-        load.silence = length;
-        load.asked = 10 * static_cast<double>(load.hosts);
+    checkRateSums([](Scenario& scenario) {
+        scenario.loseCoordinator = true;
+        scenario.electionDuration = duration;
+        scenario.asked = 10 * static_cast<double>(scenario.hosts);
     });
 }
 
@@ -307,15 +312,15 @@
 TEST_CASE("what a limited server takes for its keys is used")
 {
     for (const size_t hosts : { 8, 58, 300 }) {
-        Load load;
-        load.hosts = hosts;
-        load.reportEvery = Millis(hosts > 80 ? 940 : 250);
+        Scenario scenario;
+        scenario.hosts = hosts;
+        scenario.reportEvery = Millis(hosts > 80 ? 940 : 250);
         CAPTURE(hosts);
-        const Outcome pressed = playMany(load, histories);
-        CHECK(static_cast<double>(pressed.served) >= 0.75 * load.limit * secondsLimited * histories);
-        load.asked = 1;
-        const Outcome calm = playMany(load, histories);
-        CHECK(static_cast<double>(calm.served) >= 0.8 * static_cast<double>(calm.asked));
+        const Outcome overloaded = runMany(scenario, runs);
+        CHECK(static_cast<double>(overloaded.served) >= 0.75 * scenario.limit * limitedSeconds * runs);
+        scenario.asked = 1;
+        const Outcome lightlyLoaded = runMany(scenario, runs);
+        CHECK(static_cast<double>(lightlyLoaded.served) >= 0.8 * static_cast<double>(lightlyLoaded.asked));
     }
 }
 
@@ -323,11 +328,11 @@
 TEST_CASE("a limit above what is asked for hardly delays requests")
 {
     for (const size_t hosts : { 8, 58 }) {
-        Load load;
-        load.hosts = hosts;
-        load.limit = load.later = 60;
-        load.asked = 30;
-        const Outcome outcome = playMany(load, histories);
+        Scenario scenario;
+        scenario.hosts = hosts;
+        scenario.limit = scenario.laterLimit = 60;
+        scenario.asked = 30;
+        const Outcome outcome = runMany(scenario, runs);
         const double mean = outcome.waitedMillis / static_cast<double>(outcome.served);
         MESSAGE(hosts << " hosts: " << mean << " ms on average");
         CHECK(mean < 60);
@@ -337,44 +342,44 @@
 // Guards against a limit that goes on after it has risen, and one that stays high after it has fallen.
 TEST_CASE("a limit that rises or falls is followed")
 {
-    Load load;
-    load.asked = 40;
-    load.limit = 2;
-    load.later = 20;
-    const Outcome rising = playMany(load, histories);
-    CHECK(static_cast<double>(rising.served) >= 0.6 * 20 * 15 * histories);
-    CHECK(rising.broken == 0);
-    load.limit = 20;
-    load.later = 2;
-    CHECK(playMany(load, histories).broken == 0);
+    Scenario scenario;
+    scenario.asked = 40;
+    scenario.limit = 2;
+    scenario.laterLimit = 20;
+    const Outcome rising = runMany(scenario, runs);
+    CHECK(static_cast<double>(rising.served) >= 0.6 * 20 * 15 * runs);
+    CHECK(rising.windowsOverLimit == 0);
+    scenario.limit = 20;
+    scenario.laterLimit = 2;
+    CHECK(runMany(scenario, runs).windowsOverLimit == 0);
 }
 
 TEST_CASE("the newest word of a server counts, whoever reports it first")
 {
-    RateLedger ledger;
-    ledger.said("s", 2, begin + Millis(500), begin + Millis(600));
-    const auto edition = ledger.edition();
-    ledger.said("s", std::nullopt, begin + Millis(400), begin + Millis(700));
-    CHECK(ledger.limitOf("s") == 2);
-    ledger.said("s", 2.1, begin + Millis(800), begin + Millis(800));
-    CHECK(ledger.edition() == edition); // hosts need not hear of it
-    ledger.said("s", std::nullopt, begin + Millis(900), begin + Millis(900));
-    ledger.said("s", 2, begin + Millis(850), begin + Millis(950));
-    CHECK_FALSE(ledger.limited("s"));
-    CHECK(ledger.edition() > edition);
+    GlobalRateLimiter limiter;
+    limiter.limitReported("s", 2, begin + Millis(500), begin + Millis(600));
+    const auto edition = limiter.edition();
+    limiter.limitReported("s", std::nullopt, begin + Millis(400), begin + Millis(700));
+    CHECK(limiter.limitOf("s") == 2);
+    limiter.limitReported("s", 2.1, begin + Millis(800), begin + Millis(800));
+    CHECK(limiter.edition() == edition); // hosts need not hear of it
+    limiter.limitReported("s", std::nullopt, begin + Millis(900), begin + Millis(900));
+    limiter.limitReported("s", 2, begin + Millis(850), begin + Millis(950));
+    CHECK_FALSE(limiter.isLimited("s"));
+    CHECK(limiter.edition() > edition);
 }
 
 TEST_CASE("a host believes what it heard itself until the coordinator must have heard of it")
 {
-    KnownRateLimit word;
-    word.told(std::nullopt, begin);
-    word.said(3, begin + Millis(10));
-    word.told(std::nullopt, begin + Millis(300)); // the answer to an earlier report
-    CHECK(word.limit() == 3);
-    word.told(std::nullopt, begin + Millis(2'500));
-    CHECK_FALSE(word.limit());
-    word.told(4, begin + Millis(2'800));
-    CHECK(word.limit() == 4);
-    word.said(std::nullopt, begin + Millis(2'900));
-    CHECK(word.toReport(begin + Millis(3'000)).has_value());
+    KnownRateLimit rateLimit;
+    rateLimit.heardFromCoordinator(std::nullopt, begin);
+    rateLimit.heardFromServer(3, begin + Millis(10));
+    rateLimit.heardFromCoordinator(std::nullopt, begin + Millis(300)); // the answer to an earlier report
+    CHECK(rateLimit.limit() == 3);
+    rateLimit.heardFromCoordinator(std::nullopt, begin + Millis(2'500));
+    CHECK_FALSE(rateLimit.limit());
+    rateLimit.heardFromCoordinator(4, begin + Millis(2'800));
+    CHECK(rateLimit.limit() == 4);
+    rateLimit.heardFromServer(std::nullopt, begin + Millis(2'900));
+    CHECK(rateLimit.toReport(begin + Millis(3'000)).has_value());
 }
