--- a/packages/decisions/CrashEvidence.cpp
+++ b/packages/decisions/CrashEvidence.cpp
@@ -7,26 +7,30 @@
 
 namespace {
 
-    // One crash may be chance and two may be a hot key; a request alone was at three servers that went away, and was
-    // never answered.
+    // One crash may be chance, and two may be due to a hot key. A request that was at three crashed servers and was
+    // never answered is taken to be the cause.
     constexpr size_t crashesUntilQuarantine = 3;
-    // Hosts are told of a suspect at once, and say so if a server has answered it: early, but some messages get lost
-    // and come with the next report. Where hosts report seldom it is cut short, as servers crash meanwhile.
+    // Hosts learn of a suspect at once and report early if a server has answered it. Some messages get lost and arrive
+    // with the next report, hence more than two intervals. The wait is capped where hosts report rarely, as servers
+    // crash in the meantime.
     constexpr double reportIntervalsToClear = 2.4;
     constexpr Millis maxClearanceDelay { 700 };
-    // A server that falls silent is known to have gone when its entry lapses or its next incarnation registers.
+    // Covers a server that becomes silent: its end is known when its store entry expires or its next incarnation
+    // registers.
     constexpr Millis maxDetectionDelay { 6'000 };
-    constexpr Millis suspectLifetime { 60'000 }; // of a suspect since its last crash: callers come again within seconds
-    constexpr Millis quarantineDuration { 600'000 }; // one crash in ten minutes, if the request still crashes servers
-    constexpr Millis answerLifetime { 10'000 }; // servers may change what they can bear
-    constexpr size_t maxAnswers = 4'096; // 200 kB; where a host answers more in ten seconds, the newest
-    constexpr size_t maxLostRequests = 512; // of one host, waiting to be known
-    constexpr size_t maxRecentCrashes = 64; // crashes of one host
-    constexpr size_t maxRequestsPerCrash = 64; // of one host at one server: more than any takes at once
-    constexpr size_t maxSuspects = 4'096; // 200 kB at the coordinator; a data centre's loss makes some thousand
+    constexpr Millis suspectLifetime { 60'000 }; // since the last crash; callers retry within seconds
+    constexpr Millis quarantineDuration {
+        600'000
+    }; // allows one crash in ten minutes if the request still crashes servers
+    constexpr Millis answerLifetime { 10'000 }; // servers may change in which requests they can handle
+    constexpr size_t maxAnswers = 4'096; // 200 kB; only the newest are kept if a host answers more in ten seconds
+    constexpr size_t maxLostRequests = 512; // of one host, until its server is known to have gone or to be alive
+    constexpr size_t maxRecentCrashes = 64; // of one host
+    constexpr size_t maxRequestsPerCrash = 64; // from one host; more than a server runs at once
+    constexpr size_t maxSuspects = 4'096; // 200 kB at the coordinator; the loss of a data centre makes a few thousand
     constexpr size_t maxQuarantined = 256;
-    constexpr size_t maxEvents = 256; // not taken yet
-    constexpr size_t maxAttributed = 1'024; // servers, the newest
+    constexpr size_t maxEvents = 256; // until the next takeEvents()
+    constexpr size_t maxAttributed = 1'024; // servers; the newest are kept
 
 }
 
@@ -107,8 +111,8 @@
     const auto unlisted = [&](Fingerprint request) {
         return !m_suspects.count(request) && !m_quarantined.count(request) && !unreported.count(request);
     };
-    // What the coordinator named and names no more was answered, perhaps at another host. A single crash is never
-    // named, and still counts if the next coordinator learns of it.
+    // A request that the coordinator listed and no longer lists was answered, perhaps on another host. A request with a
+    // single crash is never listed, and its crash must still be repeated to the next coordinator.
     const auto cleared = [&](Fingerprint request) {
         return unlisted(request) && (previousSuspects.count(request) || previouslyQuarantined.count(request));
     };
@@ -125,7 +129,7 @@
         if (!recent.crash.requests.empty())
             m_unreportedCrashes.push_back(recent.crash);
     }
-    // What this host had said to its predecessor may not have come to the others.
+    // Clearances that this host reported to the previous coordinator may not have reached the other hosts.
     for (const Fingerprint request : m_suspects) {
         if (m_answeredAt.count(request))
             m_unreportedAnswered.insert(request);
@@ -169,7 +173,8 @@
         const auto known = m_quarantined.find(request);
         if (known == m_quarantined.end())
             continue;
-        // It was on its way when the others learned, or the one try that is allowed: it has not been mended.
+        // The request was sent before its host learned of the quarantine, or was the one attempt allowed after it. The
+        // fault is still there.
         ++known->second.crashes;
         if (known->second.until <= now)
             ++m_edition;
@@ -204,8 +209,8 @@
     return std::min(needed, maxClearanceDelay);
 }
 
-// What else was at those servers was there by chance: while servers fall over one after the other, a request that is
-// tried again and again meets several of them.
+// Other requests were at these servers by chance: while servers crash one after the other, a request that is retried
+// meets several of them.
 void CrashAggregator::attributeCrashes(const std::set<std::string, std::less<>>& servers)
 {
     for (const auto& server : servers) {
@@ -230,7 +235,7 @@
 
 void CrashAggregator::quarantineConfirmed(Instant now)
 {
-    // Those with the most crashes first: they explain the crashes that others have in common with them.
+    // In order of falling crash counts: crashes shared by several suspects are attributed to the one with the most.
     std::vector<std::pair<size_t, Fingerprint>> candidates;
     for (const Fingerprint request : m_nearQuarantine)
         candidates.emplace_back(m_suspects.at(request).servers.size(), request);
--- a/packages/decisions/CrashEvidence.h
+++ b/packages/decisions/CrashEvidence.h
@@ -1,17 +1,17 @@
-// Requests that crash the servers that run them.
+// Detects requests that crash the servers that run them, and quarantines them.
 //
-// Such a request comes again and again, at any host and from any address; each time a server falls over with everything
-// else that runs there. It is told from the others by what it has in common with itself: a fingerprint of the whole
-// request. Others may ask for the same and do no harm: one answer clears them all. In one crash everything that ran
-// there is suspect. A request that was at three servers when they went away, and that no server answered in between, is
-// quarantined: hosts refuse it.
+// The caller of such a request repeats it, through any host and from any address, and each server that runs it crashes
+// together with everything else that runs there. Repetitions are recognised by a fingerprint of the whole request.
+// Requests with the same fingerprint may do no harm: a single answer from a server clears the fingerprint. After a
+// crash, every request that was at the server is suspect. A request that was at three servers when they went away, and
+// that no server answered in between, is quarantined: hosts refuse it.
 //
-// Load pattern: a caller that repeats one such request each second, among thousands of others of which some are at the
-// same server; servers that also crash for other reasons, now and then or every few seconds.
+// Load pattern: a caller that repeats one such request each second, among thousands of other requests of which some are
+// at the same server; servers that also crash for other reasons, now and then or every few seconds.
 //
-// - CrashWatch, on each host: what was sent and got no answer counts only once its server is known to have gone.
-//   A reset connection, a lost answer or a server that leaves in good order is no crash.
-// - CrashLedger, at the coordinator: the sum over all hosts. What it holds is bounded, and lapses.
+// - HostCrashTracker, on each host: a request that was sent and not answered counts only once its server is known to
+//   have gone. A reset connection, a lost answer or an orderly shutdown is not a crash.
+// - CrashAggregator, at the coordinator: combines the reports of all hosts. Its state is bounded and expires.
 #pragma once
 
 #include "base/Time.h"
@@ -30,7 +30,7 @@
 
 namespace cumindale {
 
-using Fingerprint = uint64_t; // of a request: method, host, body, and path with or without its query
+using Fingerprint = uint64_t; // hash of a request's method, host, body, and path with or without the query
 
 // The requests that were at a server when it went away.
 struct ServerCrash {
@@ -40,23 +40,23 @@
 
 class HostCrashTracker {
 public:
-    // --- What this host sees
-    void responseLost(std::string_view server, Fingerprint, Instant now); // no answer came, and it may have run
-    void serverAlive(std::string_view server); // or left in good order: what was lost there crashed nothing
-    // It takes no requests, or another incarnation is there. Returns the requests that were there.
+    // --- Events on this host
+    void responseLost(std::string_view server, Fingerprint, Instant now); // not answered, and may have run
+    void serverAlive(std::string_view server); // or shut down in order: drops its unanswered requests
+    // The server refuses connections, or another incarnation runs there. Returns the requests that were at the server.
     std::vector<Fingerprint> serverGone(std::string_view server, Instant now);
-    void answered(Fingerprint, Instant now); // by a server, whatever the answer
+    void answered(Fingerprint, Instant now); // by a server, with any status
 
-    // --- What the coordinator tells
-    // Returns the suspects that a server has answered here lately.
+    // --- Updates from the coordinator
+    // Returns the suspects that a server has answered recently on this host.
     std::vector<Fingerprint> applyCoordinatorUpdate(
         std::set<Fingerprint> suspects, std::set<Fingerprint> quarantined, Instant now);
-    void repeatToNewCoordinator(); // it knows nothing of what its predecessor was told
+    void repeatToNewCoordinator(); // a new coordinator has none of the reports that its predecessor received
 
-    // --- What follows
+    // --- Queries and reports
     bool hasSuspects() const { return !m_suspects.empty() || !m_ownSuspects.empty(); }
     bool hasQuarantined() const { return !m_quarantined.empty(); }
-    bool isSuspect(Fingerprint) const; // not to be sent a second time
+    bool isSuspect(Fingerprint) const; // must not be retried
     bool isQuarantined(Fingerprint request) const { return m_quarantined.count(request); }
     bool hasUnreported() const { return !m_unreportedCrashes.empty() || !m_unreportedAnswered.empty(); }
     std::vector<ServerCrash> takeCrashes();
@@ -77,25 +77,26 @@
     bool wasAnswered(Fingerprint, Instant now) const;
 
     std::deque<LostRequest> m_lostRequests; // oldest first
-    // What servers have answered lately. A request that crashes servers is never answered: one that was a moment ago
-    // was only there by chance, as the requests for a hot key are whose server crashes every few seconds.
+    // Times of recent answers. A request that crashes servers is never answered, so a request that was answered a
+    // moment ago was at the crashed server by chance. An example are requests for a hot key whose server crashes every
+    // few seconds.
     std::unordered_map<Fingerprint, Instant> m_answeredAt;
-    std::deque<std::pair<Fingerprint, Instant>> m_answersInOrder; // the same, oldest first
-    std::deque<RecentCrash> m_recentCrashes; // for a new coordinator
-    std::vector<ServerCrash> m_unreportedCrashes; // not reported yet
-    std::set<Fingerprint> m_unreportedAnswered; // likewise
-    std::set<Fingerprint> m_ownSuspects; // suspects of this host's own crashes
-    std::set<Fingerprint> m_suspects; // of all hosts
-    std::set<Fingerprint> m_quarantined;
+    std::deque<std::pair<Fingerprint, Instant>> m_answersInOrder; // the entries of m_answeredAt, oldest first
+    std::deque<RecentCrash> m_recentCrashes; // kept to be reported to a new coordinator
+    std::vector<ServerCrash> m_unreportedCrashes;
+    std::set<Fingerprint> m_unreportedAnswered;
+    std::set<Fingerprint> m_ownSuspects; // from crashes that this host saw
+    std::set<Fingerprint> m_suspects; // from the coordinator
+    std::set<Fingerprint> m_quarantined; // from the coordinator
 };
 
-// What the ledger makes of the reports, for the log. Requests with a single crash are left out.
+// A change of a request's state, for the log. Requests with a single crash are left out.
 struct CrashEvent {
     enum class Kind : uint8_t { Suspected, Cleared, Quarantined };
     Kind kind = Kind::Suspected;
     Fingerprint request = 0;
     unsigned crashes = 0;
-    std::string server; // that crashed last; empty unless suspected
+    std::string server; // the last one that crashed; empty unless suspected
 };
 
 std::string_view toString(CrashEvent::Kind);
@@ -104,52 +105,54 @@
     Fingerprint request = 0;
     unsigned crashes = 0;
     Instant since {};
-    Instant until {}; // then one try is allowed: the servers may have been mended
+    Instant until {}; // then one attempt is allowed, as the servers may have been fixed
 };
 
 class CrashAggregator {
 public:
-    void setReportInterval(Millis interval) { m_reportInterval = interval; } // of each host
+    void setReportInterval(Millis interval) { m_reportInterval = interval; } // between reports of one host
 
     // --- From reports
     void crashed(const ServerCrash&, Instant now);
-    void answered(Fingerprint); // it is innocent, or the servers have been mended
+    void answered(Fingerprint); // the request is harmless, or the servers have been fixed
     void release(Fingerprint); // by an operator
 
     // --- From a predecessor
     void restore(const QuarantinedRequest&);
     void clear();
 
-    // --- What follows
-    // That one more crash would bring into quarantine: all hosts look whether a server has answered them. Of the others
-    // there may be thousands after a data centre's loss, and telling them would cost more than it helps.
+    // --- Results
+    // Requests that need one more crash to be quarantined, or that have enough: all hosts check whether a server has
+    // answered them. Requests with fewer crashes are not sent to hosts: after the loss of a data centre there may be
+    // thousands of them, which would cost more than it helps.
     std::vector<Fingerprint> suspects(Instant now);
     std::vector<QuarantinedRequest> quarantined(Instant now);
-    uint64_t edition() const { return m_edition; } // of the quarantine; it grows with each change
+    uint64_t edition() const { return m_edition; } // version of the quarantine; grows with each change
     std::vector<CrashEvent> takeEvents(); // since the last call
 
 private:
     struct Suspect {
-        std::set<std::string, std::less<>> servers; // that went away with it
-        Instant lastCrashAt {}; // crash
-        Instant nearQuarantineSince {}; // hosts are told of it
+        std::set<std::string, std::less<>> servers; // that went away while the request was there
+        Instant lastCrashAt {};
+        Instant nearQuarantineSince {}; // when hosts were first told of the request
     };
 
-    Millis clearanceDelay() const; // that a suspect was answered; reports of several crashes may come at once
+    // How long hosts get to report that a suspect was answered. Reports of several crashes may arrive at once.
+    Millis clearanceDelay() const;
     void dropExpired(Instant now);
-    void dropSuspect(Fingerprint); // a suspect
+    void dropSuspect(Fingerprint);
     void quarantineConfirmed(Instant now);
-    void attributeCrashes(
-        const std::set<std::string, std::less<>>& servers); // a quarantined request was at their crashes
+    // Attributes the crashes of `servers` to a quarantined request, so that they count against no other request.
+    void attributeCrashes(const std::set<std::string, std::less<>>& servers);
     void addEvent(CrashEvent);
 
     Millis m_reportInterval { 250 };
     std::map<Fingerprint, Suspect> m_suspects;
-    std::set<Fingerprint> m_nearQuarantine; // of these
-    Instant m_expiredAt {};
+    std::set<Fingerprint> m_nearQuarantine; // the part of m_suspects that hosts are told of
+    Instant m_expiredAt {}; // last run of dropExpired()
     std::map<Fingerprint, QuarantinedRequest> m_quarantined;
-    std::set<std::string, std::less<>> m_attributed; // servers that a quarantined request crashed
-    std::deque<std::string> m_attributedInOrder; // the same, oldest first
+    std::set<std::string, std::less<>> m_attributed; // servers whose crash is attributed to a quarantined request
+    std::deque<std::string> m_attributedInOrder; // the entries of m_attributed, oldest first
     uint64_t m_edition = 0;
     std::vector<CrashEvent> m_events;
 };
--- a/packages/decisions/RateLimit.cpp
+++ b/packages/decisions/RateLimit.cpp
@@ -7,25 +7,25 @@
 
 namespace {
 
-    // What this host heard itself counts beside what the coordinator tells until that must have heard of it: two
-    // reports of hundreds of hosts later.
+    // The server's own response overrides the coordinator's answers until the coordinator must have received this
+    // host's report of it. With hundreds of hosts this is the time of two reports.
     constexpr Millis maxReportDelay { 2'000 };
-    constexpr Millis coordinatorTimeout { 1'500 }; // longer than between two reports of hundreds of hosts
+    constexpr Millis coordinatorTimeout { 1'500 }; // longer than the report interval with hundreds of hosts
 
-    // Of all hosts together: in four seconds a server bears half as much again as it names, and five requests more.
-    constexpr double capacityPerRate = 2; // turns kept, for each request a second
+    // Sums over all hosts. In four seconds a server tolerates one and a half times its limit plus five requests.
+    constexpr double capacityPerRate = 2; // tokens, for each request a second of the limit
     constexpr double baseCapacity = 4;
-    constexpr double bucketFraction = 0.9; // part of the limit
-    constexpr double timeSlotFraction = 0.6; // whose turns fall together is a matter of chance
+    constexpr double bucketFraction = 0.9; // of the limit, used with token buckets
+    constexpr double timeSlotFraction = 0.6; // of the limit, used with time slots: slots of several hosts may coincide
     constexpr Millis slotDuration { 500 };
-    constexpr double burstSeconds = 0.5; // of permits that nobody asked for
-    constexpr double minPublishedChange = 0.2; // of a limit, that hosts are told
+    constexpr double burstSeconds = 0.5; // capacity of the permit bucket, as time at the limit
+    constexpr double minPublishedChange = 0.2; // relative; smaller changes of a limit are not sent to hosts
 
     Millis secondsToMillis(double seconds) { return Millis(std::llround(seconds * 1000)); }
 
 }
 
-// --- On a host
+// --- On each host, from responses and reports
 
 void KnownRateLimit::heardFromServer(std::optional<PerSecond> limit, Instant now)
 {
@@ -60,20 +60,20 @@
 
 std::optional<KnownRateLimit::Observation> KnownRateLimit::toReport(Instant now) const
 {
-    // Once more after a report that may have been lost, and to a coordinator that has just begun.
+    // Reported repeatedly, in case a report is lost or the coordinator has just started.
     constexpr Millis repeatFor { 2'500 };
     const bool isNew = m_fromServer
         && (now - m_fromServer->at <= repeatFor || m_fromServer->at + maxReportDelay > m_coordinatorAnsweredAt);
     return isNew ? m_fromServer : std::nullopt;
 }
 
-// --- Turns
+// --- On each host, without a coordinator
 
 void LocalRateLimiter::setLimit(PerSecond limit, size_t hosts, Instant now)
 {
     const auto hostCount = static_cast<double>(std::max<size_t>(1, hosts));
-    // Few hosts may keep turns until they have requests for them: should all of them have some at once, the server
-    // bears it. Of many hosts' turns those that are not used lapse.
+    // With few hosts, each may save up tokens in a bucket: the server tolerates that all hosts spend them at once. With
+    // many hosts, whose share of the capacity is below one token, each sends in time slots, which expire unused.
     const double capacity = (capacityPerRate * limit + baseCapacity) / hostCount;
     m_bucket.setRate(bucketFraction * limit / hostCount, std::floor(capacity), now);
     const Millis period = secondsToMillis(hostCount / (timeSlotFraction * limit));
--- a/packages/decisions/RateLimit.h
+++ b/packages/decisions/RateLimit.h
@@ -1,16 +1,18 @@
-// How all hosts together keep to the number of requests a second that a server names in its answers.
+// Limits the requests that all hosts together send to a server to the rate that the server announces in its responses.
 //
-// Such a server is in need: what it names may be a tenth of what it did before, and less than one request from each
-// host. So the sum over all hosts is what counts:
+// A server that announces a limit is overloaded or degraded: the limit may be a tenth of its usual rate, and less than
+// one request a second for each host. The limit therefore applies to the sum over all hosts:
 //
-// - KnownRateLimit, on each host: what this host knows of a server's limit, by its own answers and by the coordinator.
-// - RateLedger, at the coordinator: the newest word of each server, and a token bucket for each limit. Requests go to
-//   such a server only with its permits.
-// - RateTurns, on each host, while no coordinator answers: each host sends in turns of its own. That keeps the sum, but
-//   not every turn meets a request.
+// - KnownRateLimit, on each host: what this host knows of a server's limit, from the server's responses to this host
+// and
+//   from the coordinator.
+// - GlobalRateLimiter, at the coordinator: the newest limit of each server, with a token bucket for each. Requests to a
+//   limited server need a permit from there.
+// - LocalRateLimiter, on each host, while no coordinator answers: each host sends at times of its own. The sum stays
+//   within the limit, but some of these times pass unused.
 //
-// Load pattern: a server that is asked for ten requests a second names a limit of two; 8, 58 or 300 hosts, of which
-// each has a request for it now and then.
+// Load pattern: a server that is asked for ten requests a second announces a limit of two; 8, 58 or 300 hosts, each of
+// which has a request for the server now and then.
 #pragma once
 
 #include "base/Time.h"
@@ -27,14 +29,14 @@
 
 using PerSecond = double; // requests, from all hosts together
 
-// Of a limit, what all hosts together may take in turns of their own: they may be cut off from a coordinator that gives
-// the whole to the others.
+// The part of a limit that all hosts together may use with their LocalRateLimiters. These hosts may be cut off from a
+// coordinator that gives the whole limit to the other hosts.
 constexpr double uncoordinatedFraction = 0.5;
 
-// Below, a limit counts as so much: an answer now and then must tell whether the server still names it.
+// Lower limits are raised to this one: an occasional response must show whether the server still announces its limit.
 constexpr PerSecond minLimit = 0.1;
 
-// What one host knows of one server's limit. Nothing: it names none.
+// What one host knows of one server's limit. No value: the server announces none.
 class KnownRateLimit {
 public:
     struct Observation {
@@ -42,19 +44,18 @@
         Instant at {};
     };
 
-    // --- What is heard
-    void heardFromServer(std::optional<PerSecond>, Instant now); // by the server, in an answer to this host
-    void heardFromCoordinator(
-        std::optional<PerSecond>, Instant now); // by the coordinator, with each answer to a report
-    void repeatToNewCoordinator(); // it knows nothing of what its predecessor was told
+    // --- Input
+    void heardFromServer(std::optional<PerSecond>, Instant now); // in a response to this host
+    void heardFromCoordinator(std::optional<PerSecond>, Instant now); // in each answer to a report
+    void repeatToNewCoordinator(); // a new coordinator has none of the reports that its predecessor received
 
-    // --- What follows
+    // --- Results
     std::optional<PerSecond> limit() const; // in force
-    bool coordinatorSilent(Instant now) const; // this host: no coordinator has answered it lately
-    std::optional<Observation> toReport(Instant now) const; // nothing: no news
+    bool coordinatorSilent(Instant now) const; // no coordinator has answered this host recently
+    std::optional<Observation> toReport(Instant now) const; // no value: nothing new
 
 private:
-    std::optional<Observation> m_fromServer; // nothing: never a limit, nor its end
+    std::optional<Observation> m_fromServer; // no value: the server has announced no limit, nor the end of one
     std::optional<PerSecond> m_fromCoordinator;
     Instant m_coordinatorAnsweredAt {};
 };
@@ -62,31 +63,33 @@
 // The times at which one host may send a request to one server.
 class LocalRateLimiter {
 public:
-    // `phase`, from 0 to 1: of this host's first turn, at random, so that the hosts' turns are spread.
+    // `phase`, from 0 to 1: position of this host's first time slot in the period, random to spread the hosts' slots.
     explicit LocalRateLimiter(double phase)
         : m_phase(phase)
     {
     }
 
-    void setLimit(PerSecond, size_t hosts, Instant now); // before the others, and with each change
+    void setLimit(PerSecond, size_t hosts, Instant now); // to be called first, and with each change
     bool maySend(Instant now) const { return nextSendAt(now) <= now; }
     void recordSend(Instant now);
-    Instant nextSendAt(Instant now) const; // the first moment at which a turn is open
+    Instant nextSendAt(Instant now) const; // the first moment at which a request may be sent
 
 private:
     double m_phase;
-    bool m_usesTimeSlots = false; // a turn that is not used in time is lost
-    TokenBucket m_bucket; // turns, where they don't lapse
-    Millis m_period { 0 }; // between two turns, where they lapse
-    Instant m_slotStart {}; // the present one or the next one, likewise
+    bool m_usesTimeSlots = false; // periodic time slots that expire unused, instead of the token bucket
+    TokenBucket m_bucket;
+    Millis m_period { 0 }; // between the starts of two time slots
+    Instant m_slotStart {}; // of the present or the next time slot
 };
 
-// What all hosts have heard of all servers' limits, and the permits for them.
+// The limits of all servers as reported by all hosts, and the permits for them.
 class GlobalRateLimiter {
 public:
-    // --- From reports: what was said last counts. Nothing: the server names no limit any more.
+    // --- From reports
+    // The newest observation counts, by the time `at` of the server's response. No limit: the server announces none any
+    // more.
     void limitReported(std::string_view server, std::optional<PerSecond>, Instant at, Instant now);
-    template <typename Predicate> void retainServers(Predicate keeps) // `keeps`: of a server's id
+    template <typename Predicate> void retainServers(Predicate keeps) // `keeps`: called with a server's id
     {
         std::erase_if(m_servers, [&](const auto& entry) {
             const bool removed = !keeps(entry.first);
@@ -96,32 +99,32 @@
     }
     void clear() { m_servers.clear(); }
 
-    // --- What follows
+    // --- Results
     bool isLimited(std::string_view server) const { return limitOf(server).has_value(); }
     std::optional<PerSecond> limitOf(std::string_view server) const;
-    template <typename Function> void forEachLimit(Function function) const // of a server's id and its limit
+    template <typename Function> void forEachLimit(Function function) const // called with a server's id and its limit
     {
         for (const auto& [server, state] : m_servers) {
             if (state.limit)
                 function(server, *state.limit);
         }
     }
-    uint64_t edition() const { return m_edition; } // of what hosts must know; it grows with each change that matters
-    // Of `wanted` requests those that may be sent now; all, where there is no limit.
+    uint64_t edition() const { return m_edition; } // version of the limits; grows with each change that hosts must know
+    // Returns how many of `wanted` requests may be sent now; all of them if the server has no limit.
     unsigned takePermits(std::string_view server, unsigned wanted, Instant now);
-    bool hasSpare(std::string_view server, Instant now) const; // permits that nobody asked for lately, some at least
-    // Between two permits for one of so many hosts.
+    bool hasSpare(std::string_view server, Instant now) const; // more than half a bucket: recent demand was low
+    // Average time between two permits for one of `hosts` hosts.
     Millis permitPause(std::string_view server, size_t hosts) const;
 
 private:
     struct State {
         std::optional<PerSecond> limit;
         Instant observedAt {};
-        PerSecond publishedLimit = 0; // in the present edition
+        PerSecond publishedLimit = 0; // in the present edition; 0: none
         TokenBucket permits;
     };
 
-    std::map<std::string, State, std::less<>> m_servers; // also those that named one before
+    std::map<std::string, State, std::less<>> m_servers; // also those that announced a limit before
     uint64_t m_edition = 1;
 };
 
--- a/packages/decisions/ServerIdentity.cpp
+++ b/packages/decisions/ServerIdentity.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    constexpr char separator = '@'; // the last one counts: names may hold any character
+    constexpr char separator = '@'; // the last one in the id separates: names may contain any character
 
 }
 
--- a/packages/decisions/ServerIdentity.h
+++ b/packages/decisions/ServerIdentity.h
@@ -1,9 +1,9 @@
-// Who a backend server is: the name that it registers under and the moment of its start.
+// Identity of a backend server: the name that it registers under and its start time.
 //
-// A server may start again under the name that it had. It then holds no keys, has seen no fence and works on nothing
-// that its former incarnation was sent. Everything that is kept for a server, here and in the store, is therefore kept
-// under an id that names one incarnation: what is known of a former incarnation, or arrives late about it, can't be
-// taken for the present one. Only what is sent to a server names it as it names itself.
+// A server may restart under its previous name. The new incarnation owns no keys, has seen no fencing token and works
+// on nothing that was sent to the previous one. All state about a server, in memory and in the store, is therefore kept
+// under an id that names one incarnation, so that state or late messages of a previous incarnation are not attributed
+// to the current one. Only messages to a server use its plain name.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,10 @@
 
 namespace cumindale {
 
-// `born`: the server's start, Unix ms; 0: it doesn't say.
+// `born`: start time of the server, Unix ms; 0 if the server doesn't give one.
 std::string serverId(std::string_view name, int64_t born);
 
-// The name in an id; an id that no serverId() made is its own name.
+// The name in an id. Returns the whole id if it was not made by serverId().
 std::string_view serverNameOf(std::string_view id);
 
 }
--- a/packages/decisions/ServerNotice.cpp
+++ b/packages/decisions/ServerNotice.cpp
@@ -9,7 +9,7 @@
 namespace {
 
     constexpr unsigned serviceUnavailable = 503;
-    // A longer one is a mistake: it would take the server out of service until somebody notices.
+    // A longer time is taken for a mistake: it would keep the server out of service until an operator notices.
     constexpr double maxRetryAfterSeconds = 600;
 
     std::string_view trimmed(std::string_view text)
@@ -27,7 +27,7 @@
         notice.malformed |= !notice.leaving && !text.empty() && text != "0";
     }
 
-    // Finite and not below 0.
+    // The number in `text` if it is finite and not negative.
     std::optional<double> parseNumber(std::string_view text)
     {
         double number = 0;
--- a/packages/decisions/TokenBucket.h
+++ b/packages/decisions/TokenBucket.h
@@ -1,4 +1,4 @@
-// A rate with a bounded burst: tokens come in at the rate, and each request takes one.
+// Token bucket: tokens are added at a fixed rate up to a capacity, and each request takes one.
 #pragma once
 
 #include "base/Time.h"
@@ -7,11 +7,11 @@
 
 class TokenBucket {
 public:
-    // What is there stays, up to `most`. The first call begins with none.
+    // Keeps the present tokens, up to `capacity`. A new bucket is empty.
     void setRate(double perSecond, double capacity, Instant now);
-    unsigned take(unsigned wanted, Instant now); // what was taken
+    unsigned take(unsigned wanted, Instant now); // returns the number of tokens taken
     bool hasToken(Instant now) const { return available(now) >= 1; }
-    Instant nextTokenAt(Instant now) const; // when one is there
+    Instant nextTokenAt(Instant now) const; // `now` if there is a token already
     bool hasSpare(Instant now) const { return available(now) >= 1 + m_capacity / 2; }
 
 private:
@@ -19,7 +19,7 @@
 
     double m_perSecond = 0;
     double m_capacity = 0;
-    double m_tokens = 0; // as of `m_countedAt`
+    double m_tokens = 0; // as of `m_updatedAt`
     Instant m_updatedAt {};
 };
 
