--- a/tests/crash_evidence_test.cpp
+++ b/tests/crash_evidence_test.cpp
@@ -1,4 +1,4 @@
-// Requests that crash servers, among many that don't and servers that crash for other reasons.
+// Detection of requests that crash servers, among many harmless requests and servers that crash for other reasons.
 #include "decisions/CrashEvidence.h"
 
 #include <algorithm>
@@ -17,25 +17,26 @@
 constexpr Instant begin { Millis(100'000) };
 constexpr Millis step { 20 };
 constexpr Millis workDuration { 100 };
-constexpr Millis restartDuration { 2'500 }; // a server, after a crash
-constexpr Millis quarantineDeadline { 3'000 }; // from then on after the third crash nothing more is to come through
+constexpr Millis restartDuration { 2'500 }; // of a server, after a crash
+constexpr Millis quarantineDeadline { 3'000 }; // after the third crash; later the request must be refused
 
 struct Scenario {
     size_t hosts = 58;
     Millis reportEvery { 250 };
     size_t badRequests = 1;
-    Millis minBadPause { 300 }; // at least, between two comings of a bad request; five times as long at most
+    Millis minBadPause { 300 }; // between two sends of a bad request; at most five times as long
     bool loseCoordinator = false;
     bool disconnectHosts = false;
-    bool otherCrashes = true; // servers flap, and a third of them loses power once
-    Fingerprint hotRequestCount = 40; // different ones for the hot key
-    int percentLeavingEarly = 0; // of a hundred callers, before their answer: it clears nobody
+    bool otherCrashes = true; // servers crash at random, and a third of them loses power once
+    Fingerprint hotRequestCount = 40; // different requests for the hot key
+    int percentLeavingEarly = 0; // callers that disconnect before their answer, which then clears no request
 };
 
 struct Outcome {
     size_t crashes = 0; // by bad requests
-    size_t lateRetries = 0; // at most of one of them at servers, from hosts in touch, later than `calmAfter` after the
-                            // third crash of the request
+    // The most sends of one bad request that reached servers later than `quarantineDeadline` after its third crash,
+    // from hosts that were connected to the coordinator.
+    size_t lateRetries = 0;
     size_t innocentsRefused = 0;
     size_t innocentsSent = 0;
     bool quarantined = false;
@@ -92,7 +93,7 @@
                         crash(m_servers[i]);
                 if (below(1'500) == 0)
                     crash(m_servers[static_cast<size_t>(below(servers))]);
-                // One with a hot key, every two seconds.
+                // The server with the hot key crashes every two seconds.
                 if ((m_now - begin).count() % 2'000 == 0)
                     crash(m_servers.back());
             }
@@ -129,7 +130,7 @@
         for (const auto& running : interrupted) {
             m_hosts[running.host].responseLost(name, running.request, m_now);
             hosts.push_back(running.host);
-            // Its caller tries once more.
+            // The caller retries once.
             if (running.request < 1'000'000)
                 m_retries.emplace_back(running.request, m_now + Millis(100 + below(500)));
         }
@@ -167,7 +168,7 @@
 
     void sendInnocent()
     {
-        // A fifth come again with the same content within a while, as lookups do.
+        // A fifth of the requests repeat an earlier one, as lookups do.
         const bool repeated = below(5) == 0 && m_lastFresh > 200;
         const auto request
             = repeated ? 200 + static_cast<Fingerprint>(below(static_cast<int>(m_lastFresh) - 199)) : ++m_lastFresh;
@@ -207,7 +208,7 @@
 
     void loseCoordinator()
     {
-        const auto stored = m_aggregator.quarantined(m_now); // as in the store
+        const auto stored = m_aggregator.quarantined(m_now); // kept in the store
         m_aggregator.clear();
         for (const auto& request : stored)
             m_aggregator.restore(request);
@@ -222,7 +223,7 @@
             const auto turn = static_cast<int64_t>(i) * step.count() % m_scenario.reportEvery.count();
             if (m_now < m_silentUntil || m_now < m_disconnectedUntil[i])
                 continue;
-            // Hosts hear of a new coordinator from the store, and report news early.
+            // Hosts learn of a new coordinator from the store, and report early what they have not reported.
             if (std::exchange(m_reportedTerm[i], m_term) != m_term)
                 host.repeatToNewCoordinator();
             const bool regular = (m_now - begin).count() % m_scenario.reportEvery.count() == turn;
@@ -249,7 +250,7 @@
         host.applyCoordinatorUpdate({ suspects.begin(), suspects.end() }, std::move(quarantined), m_now);
     }
 
-    // The coordinator tells changes at once to those that it can reach.
+    // The coordinator sends changes at once to the hosts that it can reach.
     void sendChanges()
     {
         if (m_now < m_silentUntil)
@@ -269,8 +270,8 @@
     std::mt19937 m_random;
     std::vector<HostCrashTracker> m_hosts;
     std::vector<Instant> m_disconnectedUntil;
-    std::vector<uint64_t> m_reportedTerm; // term that each host reported in
-    std::vector<Instant> m_reportedAt; // when, each host
+    std::vector<uint64_t> m_reportedTerm; // by host: the term of its last report
+    std::vector<Instant> m_reportedAt; // by host
     std::vector<Fingerprint> m_sentSuspects;
     uint64_t m_sentEdition = 0;
     CrashAggregator m_aggregator;
@@ -290,7 +291,7 @@
     for (unsigned seed = firstSeed; seed < firstSeed + runs; ++seed) {
         const Outcome one = Simulation(scenario, seed).run();
         sum.crashes += one.crashes;
-        sum.lateRetries = std::max(sum.lateRetries, one.lateRetries); // worst
+        sum.lateRetries = std::max(sum.lateRetries, one.lateRetries); // the worst run
         sum.innocentsRefused += one.innocentsRefused;
         sum.innocentsSent += one.innocentsSent;
         sum.quarantined |= one.quarantined;
@@ -314,12 +315,12 @@
     CHECK(outcome.innocentsRefused == 0);
 }
 
-constexpr Millis fastBadPause { 55 }; // a pause of this to five times as long
+constexpr Millis fastBadPause { 55 }; // six requests a second on average: pauses last from this to five times as long
 
 }
 
-// What callers saw: for minutes one server after the other fell over with everything that ran there. One caller asked
-// for something that crashed whoever began with it, and asked again each second; every host sent it on.
+// Guards against hosts that keep forwarding a request that crashes every server that starts on it. A caller that
+// repeats such a request each second crashes one server after the other for minutes, with everything that runs there.
 TEST_CASE("a request that crashes servers is refused everywhere three seconds after the third crash")
 {
     for (const auto& [hosts, every] : { std::pair<size_t, int>(4, 250), { 58, 250 }, { 300, 940 } }) {
@@ -334,7 +335,7 @@
     }
 }
 
-// Guards against a new coordinator that takes so long to weigh what it is told that many more servers crash.
+// Guards against a new coordinator that evaluates the hosts' reports too slowly, so that many more servers crash.
 TEST_CASE("a request that comes six times a second is stopped in time also while the coordinator is lost")
 {
     for (const auto& [hosts, every] : { std::pair<size_t, int>(4, 250), { 58, 250 }, { 300, 940 } }) {
@@ -347,8 +348,8 @@
     }
 }
 
-// What callers saw: while servers crashed for reasons of their own, requests that were there by chance were refused for
-// minutes.
+// Guards against requests that are refused for minutes because they were by chance at servers that crashed for other
+// reasons.
 TEST_CASE("no request is refused because its server crashed for another reason")
 {
     constexpr unsigned runs = 1'000;
@@ -365,8 +366,8 @@
     CHECK_FALSE(outcome.quarantined);
 }
 
-// Guards against an innocent request that its caller tries again and again while another one crashes each server.
-TEST_CASE("crashes at which a quarantined request was accuse nobody else")
+// Guards against quarantine of a harmless request whose caller retries it while another request crashes the servers.
+TEST_CASE("crashes attributed to a quarantined request count against no other request")
 {
     constexpr Fingerprint bad = 1;
     constexpr Fingerprint innocent = 2;
@@ -375,21 +376,21 @@
     for (const auto* server : { "a", "b", "c", "d" })
         aggregator.crashed({ server, { bad } }, begin);
     for (const auto* server : { "a", "b", "c" })
-        aggregator.crashed({ server, { innocent } }, begin); // another host's report of the same crashes
+        aggregator.crashed({ server, { innocent } }, begin); // report of the same crashes by another host
     auto quarantined = aggregator.quarantined(afterClearance);
     REQUIRE(quarantined.size() == 1);
     CHECK(quarantined.front().request == bad);
     CHECK(aggregator.suspects(afterClearance).empty());
     aggregator.crashed({ "e", { bad, innocent } }, afterClearance);
-    aggregator.crashed({ "e", { innocent } }, afterClearance); // late
+    aggregator.crashed({ "e", { innocent } }, afterClearance); // a late report
     aggregator.crashed({ "f", { innocent } }, afterClearance);
-    CHECK(aggregator.suspects(afterClearance).empty()); // one crash of its own
+    CHECK(aggregator.suspects(afterClearance).empty()); // a single crash without the quarantined request
     aggregator.crashed({ "g", { innocent } }, afterClearance);
     aggregator.crashed({ "h", { innocent } }, afterClearance);
-    CHECK(aggregator.quarantined(afterClearance + Millis(1'000)).size() == 2); // three of its own
+    CHECK(aggregator.quarantined(afterClearance + Millis(1'000)).size() == 2); // three such crashes
 }
 
-TEST_CASE("what is known of bad requests is bounded and lapses, and one answer clears a request")
+TEST_CASE("state about bad requests is bounded and expires, and one answer clears a request")
 {
     CrashAggregator aggregator;
     for (Fingerprint request = 1; request <= 20'000; ++request)
@@ -398,10 +399,10 @@
         aggregator.crashed({ "t" + std::to_string(request), { request } }, begin);
     CHECK(aggregator.suspects(begin).size() <= 4'096);
     CHECK(aggregator.suspects(begin + Millis(61'000)).empty());
-    const Instant afterClearance = begin + Millis(1'000); // hosts have had time to say that it was answered
+    const Instant afterClearance = begin + Millis(1'000); // hosts have had time to report an answer
     for (const auto* server : { "a", "b", "b", "b" })
         aggregator.crashed({ server, { 7 } }, begin);
-    CHECK(aggregator.quarantined(afterClearance).empty()); // one server's crash counts once
+    CHECK(aggregator.quarantined(afterClearance).empty()); // crashes of one server count once
     aggregator.answered(7);
     aggregator.crashed({ "c", { 7 } }, begin);
     CHECK(aggregator.quarantined(afterClearance).empty());
@@ -409,7 +410,7 @@
     aggregator.crashed({ "e", { 7 } }, begin);
     CHECK(aggregator.quarantined(begin).empty());
     REQUIRE(aggregator.quarantined(afterClearance).size() == 1);
-    // After ten minutes one try; if it still crashes its server, ten minutes more.
+    // After ten minutes one attempt is allowed; another crash renews the quarantine for ten minutes.
     const Instant later = afterClearance + Millis(600'001);
     CHECK(aggregator.quarantined(later).empty());
     aggregator.crashed({ "f", { 7 } }, later);
@@ -418,7 +419,7 @@
     CHECK(aggregator.quarantined(later).empty());
 }
 
-TEST_CASE("the ledger tells each step from the second crash to the release, for the log")
+TEST_CASE("events for the log cover each step from the second crash to the release")
 {
     using Kind = CrashEvent::Kind;
     CrashAggregator aggregator;
@@ -437,23 +438,23 @@
     CHECK(aggregator.takeEvents().empty());
 }
 
-// Guards against a new coordinator that never hears of the crashes that its predecessor counted.
-TEST_CASE("a crash is repeated to a new coordinator, also one that the former had no reason to name")
+// Guards against a new coordinator that never learns of the crashes that its predecessor counted.
+TEST_CASE("a crash is repeated to a new coordinator, also if its predecessor listed no suspect for it")
 {
     HostCrashTracker tracker;
     tracker.responseLost("a", 1, begin);
     tracker.serverGone("a", begin);
     CHECK(tracker.takeCrashes().size() == 1);
-    tracker.applyCoordinatorUpdate({}, {}, begin); // a single crash is not told to the hosts
+    tracker.applyCoordinatorUpdate({}, {}, begin); // requests with a single crash are not sent to hosts
     tracker.repeatToNewCoordinator();
     CHECK(tracker.takeCrashes().size() == 1);
     tracker.applyCoordinatorUpdate({ 1 }, {}, begin);
-    tracker.applyCoordinatorUpdate({}, {}, begin); // it has been cleared
+    tracker.applyCoordinatorUpdate({}, {}, begin); // the request has been cleared
     tracker.repeatToNewCoordinator();
     CHECK(tracker.takeCrashes().empty());
 }
 
-TEST_CASE("a connection that is reset, a lost answer and a server that lives are no crashes")
+TEST_CASE("a reset connection or a lost answer is not a crash while the server is alive")
 {
     HostCrashTracker tracker;
     tracker.responseLost("a", 1, begin);
@@ -461,6 +462,6 @@
     tracker.serverGone("a", begin + Millis(100));
     CHECK(tracker.takeCrashes().empty());
     tracker.responseLost("a", 2, begin);
-    tracker.serverGone("a", begin + Millis(10'000)); // long after: it left for another reason
+    tracker.serverGone("a", begin + Millis(10'000)); // too late: the server went away for another reason
     CHECK(tracker.takeCrashes().empty());
 }
--- a/tests/rate_limit_test.cpp
+++ b/tests/rate_limit_test.cpp
@@ -1,4 +1,4 @@
-// Servers that name how many requests a second they take from all hosts together.
+// Limits that servers announce for the requests a second from all hosts together.
 #include "decisions/RateLimit.h"
 
 #include <algorithm>
@@ -14,34 +14,34 @@
 namespace {
 
 constexpr Instant begin { Millis(100'000) };
-constexpr Millis limitStart { 2'000 }; // the server begins to name its limit
-constexpr Millis settleTime { 3'000 };
+constexpr Millis limitStart { 2'000 }; // the server announces its limit from then on
+constexpr Millis settleTime { 3'000 }; // for all hosts to know a changed limit
 constexpr Millis window { 4'000 };
 constexpr Millis duration { 30'000 };
 constexpr Millis step { 10 };
 constexpr Millis workDuration { 120 };
-constexpr Millis callerTimeout { 1'000 }; // of callers
+constexpr Millis callerTimeout { 1'000 }; // callers give up after this wait
 const std::string server = "s";
 
 struct Scenario {
     size_t hosts = 8;
     PerSecond limit = 2;
-    PerSecond laterLimit = 2; // from the middle on
-    double asked = 12; // requests a second, at all hosts together
-    bool hasKeys = true; // only this server can run them
+    PerSecond laterLimit = 2; // in the second half of the run
+    double asked = 12; // requests a second arriving at all hosts together
+    bool hasKeys = true; // the requests are for keys that this server owns: no other can run them
     Millis reportEvery { 250 };
     bool loseCoordinator = false;
-    Millis electionDuration { 2'500 }; // then
-    bool disconnectHosts = false; // from the coordinator, now and then
-    size_t joiningHosts = 0; // hosts, from the middle on
+    Millis electionDuration { 2'500 }; // no coordinator answers for this long after the loss
+    bool disconnectHosts = false; // hosts lose the coordinator at random
+    size_t joiningHosts = 0; // that join in the middle of the run
 };
 
 struct Outcome {
-    size_t asked = 0; // while the limit is in force
+    size_t asked = 0; // since the limit is known
     size_t served = 0;
-    double waitedMillis = 0; // sum over those served
-    size_t maxInWindow = 0; // arrivals in a window
-    size_t windowsOverLimit = 0; // windows with more than the server bears
+    double waitedMillis = 0; // sum over served requests
+    size_t maxInWindow = 0; // most arrivals at the server in a window
+    size_t windowsOverLimit = 0; // windows with more arrivals than the server tolerates
 };
 
 double toleratedInWindow(PerSecond limit) { return 1.5 * limit * static_cast<double>(window.count()) / 1000 + 5; }
@@ -89,12 +89,12 @@
 
         KnownRateLimit rateLimit;
         LocalRateLimiter localLimiter;
-        std::deque<Instant> waitingSince; // since when
+        std::deque<Instant> waitingSince; // arrival time of each waiting request
         unsigned permits = 0;
-        unsigned sentSinceReport = 0; // since the last report
+        unsigned sentSinceReport = 0;
         Instant reportedAt {};
         Instant disconnectedUntil {};
-        bool repeatedToNewCoordinator = false; // to the new coordinator
+        bool repeatedToNewCoordinator = false;
     };
     struct Running {
         size_t host = 0;
@@ -157,7 +157,7 @@
         }
         const bool sendsElsewhere = !m_scenario.hasKeys || host.rateLimit.coordinatorSilent(m_now);
         if (host.rateLimit.limit() && sendsElsewhere)
-            host.waitingSince.clear(); // another server has them, or they are refused
+            host.waitingSince.clear(); // sent to another server, or refused
     }
 
     bool needsPermit(const Host& host) const
@@ -196,7 +196,7 @@
         host.sentSinceReport = 0;
     }
 
-    // While the limit has been the same for a while.
+    // Leaves out windows near a change of the limit.
     size_t largestWindow()
     {
         size_t maxInWindow = 0;
@@ -242,13 +242,13 @@
 }
 
 constexpr unsigned runs = 40;
-constexpr double limitedSeconds = 25; // in each
+constexpr double limitedSeconds = 25; // in each run
 
 }
 
 namespace {
 
-// At many sizes of fleet and many limits; `adapt` sets what is special.
+// Runs the scenario with many numbers of hosts and many limits; `adapt` changes each scenario.
 template <typename Adapt> void checkRateSums(Adapt adapt)
 {
     for (const size_t hosts : { 4, 8, 58, 300 }) {
@@ -269,37 +269,37 @@
 
 }
 
-// Guards against hosts that each take a server's limit for their own, or spend what others have spent.
-TEST_CASE("all hosts together send the owner of a key no more than it names")
+// Guards against hosts that each use the whole limit of a server, or permits that others have used.
+TEST_CASE("all hosts together send the owner of a key no more than its limit")
 {
     checkRateSums([](Scenario&) {});
 }
 
-// Guards against a new coordinator that doesn't know what hosts have spent, and hosts that go on alone.
+// Guards against a new coordinator that doesn't know which permits hosts have used, and hosts that send without one.
 TEST_CASE("all hosts together keep to a limit while the coordinator is lost")
 {
     checkRateSums([](Scenario& scenario) { scenario.loseCoordinator = true; });
 }
 
-// Guards against hosts that come back, or join, and go by what they know.
-TEST_CASE("all hosts together keep to a limit while some are cut off and back")
+// Guards against hosts that reconnect or join, and act on outdated limits.
+TEST_CASE("all hosts together keep to a limit while some disconnect and reconnect")
 {
     checkRateSums([](Scenario& scenario) { scenario.disconnectHosts = true; });
 }
 
-TEST_CASE("all hosts together keep to a limit while as many again join")
+TEST_CASE("all hosts together keep to a limit while the number of hosts doubles")
 {
     checkRateSums([](Scenario& scenario) { scenario.joiningHosts = scenario.hosts; });
 }
 
-// Guards against hosts that each take their part where it is less than one request.
-TEST_CASE("all hosts together send a server without keys no more than it names")
+// Guards against hosts that each send their share where it is less than one request.
+TEST_CASE("all hosts together send a server without keys no more than its limit")
 {
     checkRateSums([](Scenario& scenario) { scenario.hasKeys = false; });
 }
 
-// Guards against turns that fall together when every host has a request for each.
-TEST_CASE("all hosts together keep to a limit without a coordinator also where there is always a request")
+// Guards against time slots that coincide when every host has a request for each of its slots.
+TEST_CASE("all hosts together keep to a limit without a coordinator also under constant demand")
 {
     checkRateSums([](Scenario& scenario) {
         scenario.loseCoordinator = true;
@@ -308,8 +308,8 @@
     });
 }
 
-// Guards against keys that are refused although their server would take more.
-TEST_CASE("what a limited server takes for its keys is used")
+// Guards against refusals of requests for keys although their server would accept more.
+TEST_CASE("most of the limit of a server that owns keys is used")
 {
     for (const size_t hosts : { 8, 58, 300 }) {
         Scenario scenario;
@@ -325,7 +325,7 @@
 }
 
 // Guards against requests that wait for permits although the limit leaves room for all of them.
-TEST_CASE("a limit above what is asked for hardly delays requests")
+TEST_CASE("a limit above the demand hardly delays requests")
 {
     for (const size_t hosts : { 8, 58 }) {
         Scenario scenario;
@@ -339,7 +339,7 @@
     }
 }
 
-// Guards against a limit that goes on after it has risen, and one that stays high after it has fallen.
+// Guards against a limit that stays low after it was raised, and one that stays high after it was lowered.
 TEST_CASE("a limit that rises or falls is followed")
 {
     Scenario scenario;
@@ -354,7 +354,7 @@
     CHECK(runMany(scenario, runs).windowsOverLimit == 0);
 }
 
-TEST_CASE("the newest word of a server counts, whoever reports it first")
+TEST_CASE("the newest limit of a server counts, in whichever order reports arrive")
 {
     GlobalRateLimiter limiter;
     limiter.limitReported("s", 2, begin + Millis(500), begin + Millis(600));
@@ -362,14 +362,14 @@
     limiter.limitReported("s", std::nullopt, begin + Millis(400), begin + Millis(700));
     CHECK(limiter.limitOf("s") == 2);
     limiter.limitReported("s", 2.1, begin + Millis(800), begin + Millis(800));
-    CHECK(limiter.edition() == edition); // hosts need not hear of it
+    CHECK(limiter.edition() == edition); // too small a change to publish
     limiter.limitReported("s", std::nullopt, begin + Millis(900), begin + Millis(900));
     limiter.limitReported("s", 2, begin + Millis(850), begin + Millis(950));
     CHECK_FALSE(limiter.isLimited("s"));
     CHECK(limiter.edition() > edition);
 }
 
-TEST_CASE("a host believes what it heard itself until the coordinator must have heard of it")
+TEST_CASE("a limit from the server overrides the coordinator until the coordinator must have received it")
 {
     KnownRateLimit rateLimit;
     rateLimit.heardFromCoordinator(std::nullopt, begin);
--- a/tests/server_notice_test.cpp
+++ b/tests/server_notice_test.cpp
@@ -1,11 +1,11 @@
-// What servers say of themselves in their answers.
+// What servers announce about themselves in response headers.
 #include "decisions/ServerNotice.h"
 
 #include <doctest/doctest.h>
 
 using namespace cumindale;
 
-TEST_CASE("a server says that it leaves, or wants rest, in either or both ways")
+TEST_CASE("a server announces its shutdown or a retry delay, or both")
 {
     CHECK(parseServerNotice(200, "1", "") == ServerNotice { true, Millis(0), false });
     CHECK(parseServerNotice(503, "", "3") == ServerNotice { false, Millis(3'000), false });
@@ -16,16 +16,16 @@
     CHECK_FALSE(parseServerNotice(503, "", "0").any());
 }
 
-// Guards against rest that is taken from an answer that refuses nothing.
-TEST_CASE("only a refusal asks for rest")
+// Guards against a retry delay that is read from a response other than a refusal.
+TEST_CASE("a retry delay counts only in a refusal")
 {
     CHECK_FALSE(parseServerNotice(200, "", "3").any());
     CHECK_FALSE(parseServerNotice(429, "", "3").any());
     CHECK_FALSE(parseServerNotice(500, "", "soon").any());
 }
 
-// Guards against a limit that is not read, or read as a higher one.
-TEST_CASE("a server names how many requests a second it takes")
+// Guards against a limit that is ignored, or read as a higher one.
+TEST_CASE("a server announces how many requests a second it accepts")
 {
     CHECK(parseServerNotice(200, "", "", "1.6").limit == 1.6);
     CHECK(parseServerNotice(503, "1", "3", " 25 ").limit == 25);
@@ -47,8 +47,8 @@
     }
 }
 
-// Guards against a value that nobody understands and that takes a server out of service.
-TEST_CASE("odd values count as not said, and don't hide the other part")
+// Guards against a malformed value that takes a server out of service.
+TEST_CASE("malformed values are ignored and leave the other header in force")
 {
     for (const auto* malformed :
         { "soon", "-1", "nan", "inf", "1e12", "601", "3s", "0x3", "Wed, 21 Oct 2026 07:28:00 GMT" }) {
