--- a/packages/decisions/GrantPlan.cpp
+++ b/packages/decisions/GrantPlan.cpp
@@ -29,7 +29,7 @@
     return "unanswered";
 }
 
-const RegisteredServer* registeredUnder(const GrantPlan::Servers& servers, std::string_view name)
+const RegisteredServer* registeredIncarnation(const GrantPlan::Servers& servers, std::string_view name)
 {
     const auto found = servers.lower_bound(serverId(name, 0)); // ids sort by name, then start
     return found != servers.end() && serverNameOf(found->first) == name ? &found->second : nullptr;
@@ -48,195 +48,199 @@
 {
     m_highestFence = table.highestFence;
     for (const auto& range : table.ranges) {
-        Item item;
-        item.range = range;
-        item.id = m_nextId++;
-        item.range.fence = ++m_highestFence;
-        if (item.range.moving()) {
-            item.range.nextFence = ++m_highestFence;
+        RangeState state;
+        state.range = range;
+        state.id = m_nextId++;
+        state.range.fence = ++m_highestFence;
+        if (state.range.moving()) {
+            state.range.nextFence = ++m_highestFence;
             // The former coordinator renews nothing that it has announced as moving; what it sent before may still
             // hold.
-            item.formerUntil = lapseOf(now + m_timing.orderTimeout);
+            state.inheritedLeaseUntil = leaseExpiry(now + m_timing.orderTimeout);
             // It may have granted the range to the next server already, and renew it there.
-            item.nextOrdered = true;
-            item.nextFormerUntil = lapseOf(now + m_timing.renewsWithoutStore + m_timing.orderTimeout);
+            state.nextMayHold = true;
+            state.nextInheritedLeaseUntil = leaseExpiry(now + m_timing.maxRenewalWithoutStore + m_timing.orderTimeout);
         } else {
-            item.formerUntil = lapseOf(now + m_timing.renewsWithoutStore + m_timing.orderTimeout);
+            state.inheritedLeaseUntil = leaseExpiry(now + m_timing.maxRenewalWithoutStore + m_timing.orderTimeout);
         }
-        touch(item, Urgency::Announcement);
-        m_items.push_back(std::move(item));
+        markChanged(state, Urgency::Announcement);
+        m_ranges.push_back(std::move(state));
     }
 }
 
 void GrantPlan::begin(Instant)
 {
-    Item item;
-    item.id = m_nextId++;
-    m_items.push_back(std::move(item));
+    RangeState state;
+    state.id = m_nextId++;
+    m_ranges.push_back(std::move(state));
 }
 
-void GrantPlan::formerStopped(Instant at)
+void GrantPlan::onPreviousStopped(Instant at)
 {
-    const Instant lapse = lapseOf(at + m_timing.orderTimeout);
-    for (auto& item : m_items) {
-        item.formerUntil = std::min(item.formerUntil, lapse);
-        item.nextFormerUntil = std::min(item.nextFormerUntil, lapse);
+    const Instant expiry = leaseExpiry(at + m_timing.orderTimeout);
+    for (auto& state : m_ranges) {
+        state.inheritedLeaseUntil = std::min(state.inheritedLeaseUntil, expiry);
+        state.nextInheritedLeaseUntil = std::min(state.nextInheritedLeaseUntil, expiry);
     }
 }
 
 // --- Answers
 
-Instant GrantPlan::lapseOf(Instant arrivedBy) const
+Instant GrantPlan::leaseExpiry(Instant arrivedBy) const
 {
-    const auto longest = static_cast<int64_t>(static_cast<double>(m_timing.hold.count()) * m_timing.slowClock);
-    return arrivedBy + Millis(longest) + m_timing.margin;
+    const auto duration
+        = static_cast<int64_t>(static_cast<double>(m_timing.leaseDuration.count()) * m_timing.clockDriftFactor);
+    return arrivedBy + Millis(duration) + m_timing.margin;
 }
 
-Instant GrantPlan::freeAt(const Item& item) const
+Instant GrantPlan::holderExpiry(const RangeState& state) const
 {
-    return std::max({ item.holdsUntil, item.unansweredUntil, item.formerUntil });
+    return std::max({ state.confirmedLeaseUntil, state.unansweredLeaseUntil, state.inheritedLeaseUntil });
 }
 
-GrantPlan::Item* GrantPlan::find(uint64_t id)
+GrantPlan::RangeState* GrantPlan::find(uint64_t id)
 {
-    const auto found = std::find_if(m_items.begin(), m_items.end(), [&](const Item& item) { return item.id == id; });
-    return found == m_items.end() ? nullptr : &*found;
+    const auto found
+        = std::find_if(m_ranges.begin(), m_ranges.end(), [&](const RangeState& state) { return state.id == id; });
+    return found == m_ranges.end() ? nullptr : &*found;
 }
 
-void GrantPlan::noteAnswer(const std::string& server, OrderResult result, Instant endedAt)
+void GrantPlan::recordAnswer(const std::string& server, OrderResult result, Instant endedAt)
 {
-    Answers& answers = m_answers[server];
+    ServerContact& contact = m_contacts[server];
     const bool missed = result == OrderResult::Unanswered || result == OrderResult::NotSent;
     if (result == OrderResult::OtherServer) {
-        answers.silent = true; // it has ended
+        contact.unresponsive = true; // it has ended
     } else if (missed) {
-        if (answers.last == Instant {})
-            answers.last = endedAt; // counted from the first order
-        ++answers.misses;
-        const Millis silence = serves(server, endedAt) ? m_timing.silenceWhileServing : m_timing.silence;
-        answers.silent = answers.misses >= m_timing.missesUntilSuspect && endedAt - answers.last >= silence;
+        if (contact.lastAnswer == Instant {})
+            contact.lastAnswer = endedAt; // counted from the first order
+        ++contact.missedAnswers;
+        const Millis timeout
+            = isServing(server, endedAt) ? m_timing.unresponsiveAfterWhileServing : m_timing.unresponsiveAfter;
+        contact.unresponsive
+            = contact.missedAnswers >= m_timing.missesUntilUnresponsive && endedAt - contact.lastAnswer >= timeout;
     } else {
-        answers.misses = 0;
-        answers.last = endedAt;
-        answers.silent = false;
+        contact.missedAnswers = 0;
+        contact.lastAnswer = endedAt;
+        contact.unresponsive = false;
     }
 }
 
-void GrantPlan::served(const std::string& server, Instant at) { m_answers[server].served = at; }
+void GrantPlan::onServedRequest(const std::string& server, Instant at) { m_contacts[server].lastServed = at; }
 
-bool GrantPlan::serves(std::string_view server, Instant now) const
+bool GrantPlan::isServing(std::string_view server, Instant now) const
 {
-    const auto found = m_answers.find(server);
-    return found != m_answers.end() && found->second.served != Instant {}
-    && now - found->second.served <= m_timing.servingWithin;
+    const auto found = m_contacts.find(server);
+    return found != m_contacts.end() && found->second.lastServed != Instant {}
+    && now - found->second.lastServed <= m_timing.serverUseLifetime;
 }
 
 void GrantPlan::onAnswer(const OrderAnswer& answer)
 {
-    Item* item = find(answer.range);
-    if (!item || item->outstanding != answer.number)
+    RangeState* state = find(answer.range);
+    if (!state || state->outstanding != answer.number)
         return; // an order that was given up: its effects were counted when it was
-    item->outstanding = 0;
-    noteAnswer(item->outstandingServer, answer.result, answer.endedAt);
+    state->outstanding = 0;
+    recordAnswer(state->outstandingServer, answer.result, answer.endedAt);
     if (answer.result == OrderResult::HigherFence) {
         m_deposed = true;
-        note(*item, "coordinator-refused", "a server has seen a higher fence");
+        recordEvent(*state, "coordinator-refused", "a server has seen a higher fence");
         return;
     }
-    if (item->outstandingKind == GrantOrder::Kind::Release)
-        onReleaseAnswer(*item, answer);
+    if (state->outstandingKind == GrantOrder::Kind::Release)
+        onReleaseAnswer(*state, answer);
     else
-        onGrantAnswer(*item, answer);
+        onGrantAnswer(*state, answer);
 }
 
-void GrantPlan::onGrantAnswer(Item& item, const OrderAnswer& answer)
+void GrantPlan::onGrantAnswer(RangeState& state, const OrderAnswer& answer)
 {
-    const bool toNext = item.range.moving() && item.outstandingServer == item.range.next && item.nextOrdered;
+    const bool toNext = state.range.moving() && state.outstandingServer == state.range.next && state.nextMayHold;
     if (answer.result == OrderResult::Unanswered) {
-        Instant& until = toNext ? item.nextHoldsUntil : item.unansweredUntil;
-        until = std::max(until, lapseOf(answer.endedAt));
+        Instant& until = toNext ? state.nextUnansweredLeaseUntil : state.unansweredLeaseUntil;
+        until = std::max(until, leaseExpiry(answer.endedAt));
     }
     if (answer.result != OrderResult::Done)
         return;
     if (!toNext) {
-        item.confirmed = true;
-        item.formerUntil = {}; // its holder has seen a higher fence than any of a former coordinator
-        item.holdsUntil = std::max(item.holdsUntil, lapseOf(answer.endedAt));
-        item.handover.clear();
+        state.confirmed = true;
+        state.inheritedLeaseUntil = {}; // its holder has seen a higher fence than any of a former coordinator
+        state.confirmedLeaseUntil = std::max(state.confirmedLeaseUntil, leaseExpiry(answer.endedAt));
+        state.handover.clear();
         return;
     }
-    const Instant unanswered = item.nextHoldsUntil;
-    item.range.holder = std::exchange(item.range.next, {});
-    item.range.fence = std::exchange(item.range.nextFence, 0);
-    item.sent = std::exchange(item.nextSent, {});
-    item.range.holderState = HolderState::LettingGo;
-    item.confirmed = true;
-    item.holderDone = false;
-    item.released = false;
-    item.nextOrdered = false;
-    item.handover.clear();
-    item.holdsUntil = lapseOf(answer.endedAt);
-    item.unansweredUntil = unanswered;
-    item.formerUntil = {}; // its holder has seen a higher fence than any of a former coordinator
-    item.nextHoldsUntil = {};
-    item.nextFormerUntil = {};
-    touch(item, Urgency::Lazy);
-    note(item, "keys-moved", {});
-}
-
-void GrantPlan::onReleaseAnswer(Item& item, const OrderAnswer& answer)
-{
-    if (!item.range.moving() || item.holderDone)
+    const Instant unanswered = state.nextUnansweredLeaseUntil;
+    state.range.holder = std::exchange(state.range.next, {});
+    state.range.fence = std::exchange(state.range.nextFence, 0);
+    state.sent = std::exchange(state.nextSent, {});
+    state.range.holderState = HolderState::Releasing;
+    state.confirmed = true;
+    state.freedByHolder = false;
+    state.released = false;
+    state.nextMayHold = false;
+    state.handover.clear();
+    state.confirmedLeaseUntil = leaseExpiry(answer.endedAt);
+    state.unansweredLeaseUntil = unanswered;
+    state.inheritedLeaseUntil = {}; // its holder has seen a higher fence than any of a former coordinator
+    state.nextUnansweredLeaseUntil = {};
+    state.nextInheritedLeaseUntil = {};
+    markChanged(state, Urgency::Lazy);
+    recordEvent(state, "keys-moved", {});
+}
+
+void GrantPlan::onReleaseAnswer(RangeState& state, const OrderAnswer& answer)
+{
+    if (!state.range.moving() || state.freedByHolder)
         return;
     if (answer.result == OrderResult::Done) {
-        item.handover = answer.handover;
-        item.released = true;
-        item.holdsUntil = {};
+        state.handover = answer.handover;
+        state.released = true;
+        state.confirmedLeaseUntil = {};
         // A former coordinator's orders carry lower fences than this release: the server refuses them from now on.
-        item.formerUntil = {};
+        state.inheritedLeaseUntil = {};
         // An own grant without an answer may still be carried out after the release, with the same fence.
-        item.holderDone = item.unansweredUntil <= answer.endedAt;
+        state.freedByHolder = state.unansweredLeaseUntil <= answer.endedAt;
     } else if (answer.result == OrderResult::OtherServer) {
-        item.holderDone = true; // its address was given away: it has ended, and its grants with it
+        state.freedByHolder = true; // its address was given away: it has ended, and its grants with it
     }
 }
 
 // --- Planning
 
-void GrantPlan::touch(Item& item, Urgency urgency)
+void GrantPlan::markChanged(RangeState& state, Urgency urgency)
 {
-    item.edition = ++m_edition;
+    state.edition = ++m_edition;
     if (urgency == Urgency::Announcement)
-        m_announcing = m_edition;
+        m_lastAnnouncementEdition = m_edition;
     raiseFenceLimit();
 }
 
 void GrantPlan::raiseFenceLimit()
 {
-    if (m_fenceLimit >= m_highestFence + m_timing.fencesAhead / 2)
+    if (m_fenceLimit >= m_highestFence + m_timing.fenceReserve / 2)
         return;
-    m_fenceLimit = m_highestFence + m_timing.fencesAhead;
-    m_announcing = m_limitEdition = ++m_edition;
+    m_fenceLimit = m_highestFence + m_timing.fenceReserve;
+    m_lastAnnouncementEdition = m_fenceLimitEdition = ++m_edition;
 }
 
 std::optional<uint64_t> GrantPlan::fenceToSend(const GrantOrder& order, bool newConnection)
 {
     // Whoever answers behind a new connection may be a later incarnation. That goes for all ranges of the server, also
     // where their next grants find this connection made already.
-    uint64_t& connections = m_answers[order.server].connections;
+    uint64_t& connections = m_contacts[order.server].connections;
     connections += newConnection;
     if (order.kind == GrantOrder::Kind::Release)
         return order.fence;
-    Item* item = find(order.range);
-    if (!item || item->outstanding != order.number)
+    RangeState* state = find(order.range);
+    if (!state || state->outstanding != order.number)
         return std::nullopt; // given up meanwhile
-    const bool toNext = item->range.moving() && item->outstandingServer == item->range.next;
-    uint64_t& fence = toNext ? item->range.nextFence : item->range.fence;
-    SentFence& sent = toNext ? item->nextSent : item->sent;
+    const bool toNext = state->range.moving() && state->outstandingServer == state->range.next;
+    uint64_t& fence = toNext ? state->range.nextFence : state->range.fence;
+    SentFence& sent = toNext ? state->nextSent : state->sent;
     if (sent.fence == fence && sent.connection != connections) {
         // A holder that is to let go gets no fence above the one that its successor was promised.
-        const bool lettingGo = item->range.moving() && !toNext;
-        if (lettingGo || m_highestFence >= m_writtenLimit)
+        const bool releasing = state->range.moving() && !toNext;
+        if (releasing || m_highestFence >= m_writtenFenceLimit)
             return std::nullopt;
         fence = ++m_highestFence;
         raiseFenceLimit();
@@ -247,42 +251,43 @@
 
 bool GrantPlan::needsWrite(Instant now) const
 {
-    return m_announcing > m_written || (m_edition > m_written && now - m_lastWrite >= m_timing.lazyWrite);
+    return m_lastAnnouncementEdition > m_writtenEdition
+        || (m_edition > m_writtenEdition && now - m_lastWrite >= m_timing.lazyWriteDelay);
 }
 
-void GrantPlan::note(const Item& item, std::string what, std::string why)
+void GrantPlan::recordEvent(const RangeState& state, std::string what, std::string why)
 {
-    m_events.push_back({ std::move(what), item.range.first, item.range.last, item.range.holder, item.range.next,
-        item.range.moving() ? item.range.nextFence : item.range.fence, std::move(why) });
+    m_events.push_back({ std::move(what), state.range.first, state.range.last, state.range.holder, state.range.next,
+        state.range.moving() ? state.range.nextFence : state.range.fence, std::move(why) });
 }
 
-bool GrantPlan::isSilent(std::string_view server) const
+bool GrantPlan::isUnresponsive(std::string_view server) const
 {
-    const auto found = m_answers.find(server);
-    return found != m_answers.end() && found->second.silent;
+    const auto found = m_contacts.find(server);
+    return found != m_contacts.end() && found->second.unresponsive;
 }
 
 bool GrantPlan::usable(const Servers& servers, const std::string& server) const
 {
     const auto found = servers.find(server);
     return found != servers.end() && !found->second.withdrawn() && found->second.service == m_service
-        && !isSilent(server);
+        && !isUnresponsive(server);
 }
 
-bool GrantPlan::spared(const RegisteredServer& server, Instant now) const
+bool GrantPlan::isAvoided(const RegisteredServer& server, Instant now) const
 {
-    return m_sparesWarmingUp && server.warmingUp(now);
+    return m_avoidWarmingUpServers && server.warmingUp(now);
 }
 
-bool GrantPlan::anyWarm(const Servers& servers, Instant now) const
+bool GrantPlan::anyWarmedUp(const Servers& servers, Instant now) const
 {
     return std::any_of(servers.begin(), servers.end(),
-        [&](const auto& entry) { return usable(servers, entry.first) && !spared(entry.second, now); });
+        [&](const auto& entry) { return usable(servers, entry.first) && !isAvoided(entry.second, now); });
 }
 
 std::string GrantPlan::laterIncarnationOf(const Servers& servers, const std::string& server) const
 {
-    const RegisteredServer* later = registeredUnder(servers, serverNameOf(server));
+    const RegisteredServer* later = registeredIncarnation(servers, serverNameOf(server));
     return later && later->id != server && usable(servers, later->id) ? later->id : std::string();
 }
 
@@ -290,8 +295,8 @@
 std::string GrantPlan::bestTarget(const Servers& servers, const std::string& except, Instant now) const
 {
     std::map<std::string_view, uint32_t> keys;
-    for (const auto& item : m_items)
-        keys[item.range.moving() ? item.range.next : item.range.holder] += item.range.size();
+    for (const auto& state : m_ranges)
+        keys[state.range.moving() ? state.range.next : state.range.holder] += state.range.size();
     std::string best;
     double least = 0;
     bool bestIsWarm = false;
@@ -299,7 +304,7 @@
         if (id == except || !usable(servers, id))
             continue;
         const double load = keys[id] / static_cast<double>(std::max(1U, server.slots));
-        const bool warm = !spared(server, now);
+        const bool warm = !isAvoided(server, now);
         if (best.empty() || (warm && !bestIsWarm) || (warm == bestIsWarm && load < least)) {
             best = id;
             least = load;
@@ -309,35 +314,35 @@
     return best;
 }
 
-void GrantPlan::setNext(Item& item, const std::string& to, std::string why)
+void GrantPlan::setNext(RangeState& state, const std::string& to, std::string why)
 {
-    item.range.next = to;
-    item.range.nextFence = ++m_highestFence;
-    item.range.holderState = HolderState::LettingGo;
-    item.nextOrdered = false;
-    item.nextHoldsUntil = {};
-    item.nextFormerUntil = {};
-    item.nextSent = {};
-    touch(item, Urgency::Announcement);
-    note(item, "move-planned", std::move(why));
+    state.range.next = to;
+    state.range.nextFence = ++m_highestFence;
+    state.range.holderState = HolderState::Releasing;
+    state.nextMayHold = false;
+    state.nextUnansweredLeaseUntil = {};
+    state.nextInheritedLeaseUntil = {};
+    state.nextSent = {};
+    markChanged(state, Urgency::Announcement);
+    recordEvent(state, "move-planned", std::move(why));
 }
 
-void GrantPlan::moveAway(Item& item, const Servers& servers, std::string why, Instant now)
+void GrantPlan::moveAway(RangeState& state, const Servers& servers, std::string why, Instant now)
 {
     // A holder that has started again gets its keys back: no others move, and what a former coordinator may still send
     // to it is refused there.
-    std::string target = laterIncarnationOf(servers, item.range.holder);
-    if (target.empty() || spared(servers.at(target), now))
-        target = bestTarget(servers, item.range.holder, now);
+    std::string target = laterIncarnationOf(servers, state.range.holder);
+    if (target.empty() || isAvoided(servers.at(target), now))
+        target = bestTarget(servers, state.range.holder, now);
     if (target.empty())
         return; // nobody to take it; asked again at the next look
-    item.holderDone = false;
-    item.released = false;
-    item.handover.clear();
-    setNext(item, target, std::move(why));
+    state.freedByHolder = false;
+    state.released = false;
+    state.handover.clear();
+    setNext(state, target, std::move(why));
 }
 
-void GrantPlan::spreadFirst(const Servers& servers)
+void GrantPlan::assignInitialRanges(const Servers& servers)
 {
     std::vector<const RegisteredServer*> usableServers;
     uint32_t slots = 0;
@@ -349,79 +354,79 @@
     }
     if (usableServers.empty())
         return;
-    m_items.clear();
+    m_ranges.clear();
     // Several small parts for each, dealt in turn: a stretch of busy keys then lies on several servers at once.
-    const auto affordable = static_cast<unsigned>(m_timing.firstRanges / usableServers.size());
-    const unsigned parts = std::clamp(affordable, 1U, m_timing.firstParts);
+    const auto affordable = static_cast<unsigned>(m_timing.maxInitialRanges / usableServers.size());
+    const unsigned parts = std::clamp(affordable, 1U, m_timing.initialRangesPerServer);
     const uint64_t units = uint64_t(slots) * parts;
-    uint64_t before = 0;
+    uint64_t slotsSoFar = 0;
     uint32_t first = 0;
     for (unsigned part = 0; part < parts; ++part) {
         for (const auto* server : usableServers) {
-            before += std::max(1U, server->slots);
-            const auto end = static_cast<uint32_t>(numberedKeys * before / units);
+            slotsSoFar += std::max(1U, server->slots);
+            const auto end = static_cast<uint32_t>(keySpaceSize * slotsSoFar / units);
             if (end == first)
                 continue;
-            Item item;
-            item.id = m_nextId++;
-            item.range = { first, end - 1, server->id, ++m_highestFence };
-            touch(item, Urgency::Announcement);
-            note(item, "first-owner", {});
-            m_items.push_back(std::move(item));
+            RangeState state;
+            state.id = m_nextId++;
+            state.range = { first, end - 1, server->id, ++m_highestFence };
+            markChanged(state, Urgency::Announcement);
+            recordEvent(state, "first-owner", {});
+            m_ranges.push_back(std::move(state));
             first = end;
         }
     }
 }
 
-void GrantPlan::noteHolderState(Item& item, Instant now)
+void GrantPlan::updateHolderState(RangeState& state, Instant now)
 {
-    HolderState state = item.range.holderState;
-    const auto next = m_answers.find(item.range.next);
-    if (item.holderDone || item.released) {
+    HolderState holderState = state.range.holderState;
+    const auto next = m_contacts.find(state.range.next);
+    if (state.freedByHolder || state.released) {
         // What had to be waited for so far may take longer still: hosts don't keep their callers waiting for it.
-        const bool nextMisses = next != m_answers.end() && next->second.misses;
-        state = state == HolderState::LettingGo && !nextMisses ? state : HolderState::Lost;
-    } else if (isSilent(item.range.holder)) {
-        state = serves(item.range.holder, now) ? HolderState::Unreachable : HolderState::Lost;
+        const bool nextMisses = next != m_contacts.end() && next->second.missedAnswers;
+        holderState = holderState == HolderState::Releasing && !nextMisses ? holderState : HolderState::Lost;
+    } else if (isUnresponsive(state.range.holder)) {
+        holderState = isServing(state.range.holder, now) ? HolderState::Unreachable : HolderState::Lost;
     }
-    if (state == item.range.holderState)
+    if (holderState == state.range.holderState)
         return;
-    item.range.holderState = state;
+    state.range.holderState = holderState;
     ++m_edition; // hosts are told; the announcement of the move stands, and its orders needn't wait for a write
 }
 
-void GrantPlan::maintainMoving(Item& item, const Servers& servers, Instant now)
+void GrantPlan::updateMove(RangeState& state, const Servers& servers, Instant now)
 {
-    noteHolderState(item, now);
-    if (usable(servers, item.range.next) || item.outstanding)
+    updateHolderState(state, now);
+    if (usable(servers, state.range.next) || state.outstanding)
         return;
     // A former coordinator may have granted it to the next server, or not yet: both count until the holder surely holds
     // nothing. Only then does the next server take the holder's place below.
-    if (item.nextOrdered && !item.holderDone)
+    if (state.nextMayHold && !state.freedByHolder)
         return;
-    const std::string target = bestTarget(servers, item.range.next, now);
+    const std::string target = bestTarget(servers, state.range.next, now);
     if (target.empty())
         return;
-    if (item.nextOrdered) {
+    if (state.nextMayHold) {
         // It may have been granted the range: from now on it counts as the holder that must let go.
-        item.range.holder = item.range.next;
-        item.range.fence = item.range.nextFence;
-        item.sent = item.nextSent;
-        item.confirmed = false;
-        item.holderDone = false;
-        item.released = false;
-        item.holdsUntil = {};
-        item.unansweredUntil = item.nextHoldsUntil;
-        item.formerUntil = item.nextFormerUntil;
+        state.range.holder = state.range.next;
+        state.range.fence = state.range.nextFence;
+        state.sent = state.nextSent;
+        state.confirmed = false;
+        state.freedByHolder = false;
+        state.released = false;
+        state.confirmedLeaseUntil = {};
+        state.unansweredLeaseUntil = state.nextUnansweredLeaseUntil;
+        state.inheritedLeaseUntil = state.nextInheritedLeaseUntil;
     }
-    setNext(item, target, "the next owner is gone");
+    setNext(state, target, "the next owner is gone");
 }
 
-std::string GrantPlan::reasonToLeave(
-    const Servers& servers, const KeyRange& range, bool cutOff, bool anyWarm, Instant now) const
+std::string GrantPlan::reasonToMove(
+    const Servers& servers, const KeyRange& range, bool isolated, bool anyWarmedUp, Instant now) const
 {
     // What is left of a warm-up when a move would have ended is soon over, and the move itself is a pause.
-    constexpr Millis worthMoving { 600 };
+    constexpr Millis minRemainingWarmUp { 600 };
     const auto holder = servers.find(range.holder);
     if (holder == servers.end())
         return "the owner is no longer registered";
@@ -429,47 +434,48 @@
         return "the owner is leaving";
     if (holder->second.evacuated)
         return "the owner's data centre is evacuated";
-    if (isSilent(range.holder) && !cutOff)
+    if (isUnresponsive(range.holder) && !isolated)
         return "the owner doesn't answer";
-    if (anyWarm && spared(holder->second, now + worthMoving))
+    if (anyWarmedUp && isAvoided(holder->second, now + minRemainingWarmUp))
         return "the owner is warming up";
     return {};
 }
 
 void GrantPlan::maintain(const Servers& servers, Instant now)
 {
-    if (m_items.size() == 1 && m_items.front().range.holder.empty() && !m_items.front().range.moving()) {
-        spreadFirst(servers);
+    if (m_ranges.size() == 1 && m_ranges.front().range.holder.empty() && !m_ranges.front().range.moving()) {
+        assignInitialRanges(servers);
         return;
     }
-    std::erase_if(m_answers, [&](const auto& entry) {
-        return !servers.count(entry.first) && std::none_of(m_items.begin(), m_items.end(), [&](const Item& item) {
-            return item.range.holder == entry.first || item.range.next == entry.first;
-        });
+    std::erase_if(m_contacts, [&](const auto& entry) {
+        return !servers.count(entry.first)
+            && std::none_of(m_ranges.begin(), m_ranges.end(), [&](const RangeState& state) {
+                   return state.range.holder == entry.first || state.range.next == entry.first;
+               });
     });
-    const bool cutOff = mostAreSilent();
-    const bool warm = m_sparesWarmingUp && anyWarm(servers, now);
-    for (auto& item : m_items) {
-        if (item.range.moving()) {
-            maintainMoving(item, servers, now);
+    const bool isolated = mostAreUnresponsive();
+    const bool warm = m_avoidWarmingUpServers && anyWarmedUp(servers, now);
+    for (auto& state : m_ranges) {
+        if (state.range.moving()) {
+            updateMove(state, servers, now);
             continue;
         }
-        std::string why = reasonToLeave(servers, item.range, cutOff, warm, now);
+        std::string why = reasonToMove(servers, state.range, isolated, warm, now);
         if (!why.empty())
-            moveAway(item, servers, std::move(why), now);
-        if (item.range.moving())
-            noteHolderState(item, now);
+            moveAway(state, servers, std::move(why), now);
+        if (state.range.moving())
+            updateHolderState(state, now);
     }
-    join();
+    mergeNeighbours();
 }
 
-void GrantPlan::join()
+void GrantPlan::mergeNeighbours()
 {
-    for (size_t i = 0; i + 1 < m_items.size();) {
-        Item& left = m_items[i];
-        Item& right = m_items[i + 1];
-        const auto settled = [&](const Item& item) {
-            return !item.range.moving() && item.confirmed && !item.outstanding && announced(item);
+    for (size_t i = 0; i + 1 < m_ranges.size();) {
+        RangeState& left = m_ranges[i];
+        RangeState& right = m_ranges[i + 1];
+        const auto settled = [&](const RangeState& state) {
+            return !state.range.moving() && state.confirmed && !state.outstanding && announced(state);
         };
         if (!settled(left) || !settled(right) || left.range.holder != right.range.holder
             || left.range.fence != right.range.fence) {
@@ -477,30 +483,30 @@
             continue;
         }
         left.range.last = right.range.last;
-        left.holdsUntil = std::max(left.holdsUntil, right.holdsUntil);
-        left.unansweredUntil = std::max(left.unansweredUntil, right.unansweredUntil);
+        left.confirmedLeaseUntil = std::max(left.confirmedLeaseUntil, right.confirmedLeaseUntil);
+        left.unansweredLeaseUntil = std::max(left.unansweredLeaseUntil, right.unansweredLeaseUntil);
         left.orderedAt = std::min(left.orderedAt, right.orderedAt);
-        touch(left, Urgency::Lazy);
-        m_items.erase(m_items.begin() + static_cast<ptrdiff_t>(i) + 1);
+        markChanged(left, Urgency::Lazy);
+        m_ranges.erase(m_ranges.begin() + static_cast<ptrdiff_t>(i) + 1);
     }
 }
 
 bool GrantPlan::move(uint32_t first, uint32_t last, const std::string& to, std::string why)
 {
-    const auto found = std::find_if(m_items.begin(), m_items.end(),
-        [&](const Item& item) { return item.range.first <= first && last <= item.range.last; });
-    if (found == m_items.end() || found->range.moving() || found->outstanding || !found->confirmed || !announced(*found)
-        || found->range.holder == to)
+    const auto found = std::find_if(m_ranges.begin(), m_ranges.end(),
+        [&](const RangeState& state) { return state.range.first <= first && last <= state.range.last; });
+    if (found == m_ranges.end() || found->range.moving() || found->outstanding || !found->confirmed
+        || !announced(*found) || found->range.holder == to)
         return false;
     // The parts keep the holder, the fence and what is known of the grant; only the middle one moves.
-    const Item whole = *found;
-    std::vector<Item> parts;
+    const RangeState whole = *found;
+    std::vector<RangeState> parts;
     const auto addPart = [&](uint32_t from, uint32_t until) {
-        Item part = whole;
+        RangeState part = whole;
         part.range.first = from;
         part.range.last = until;
         part.id = m_nextId++;
-        touch(part, Urgency::Lazy);
+        markChanged(part, Urgency::Lazy);
         parts.push_back(std::move(part));
         return parts.size() - 1;
     };
@@ -509,77 +515,80 @@
     const size_t middle = addPart(first, last);
     if (last < whole.range.last)
         addPart(last + 1, whole.range.last);
-    parts[middle].holderDone = false;
+    parts[middle].freedByHolder = false;
     parts[middle].released = false;
     parts[middle].handover.clear();
     setNext(parts[middle], to, std::move(why));
-    const auto at = m_items.erase(found);
-    m_items.insert(at, std::make_move_iterator(parts.begin()), std::make_move_iterator(parts.end()));
+    const auto at = m_ranges.erase(found);
+    m_ranges.insert(at, std::make_move_iterator(parts.begin()), std::make_move_iterator(parts.end()));
     return true;
 }
 
 // --- Orders
 
 GrantOrder GrantPlan::makeOrder(
-    Item& item, GrantOrder::Kind kind, const std::string& server, uint64_t fence, Instant now)
+    RangeState& state, GrantOrder::Kind kind, const std::string& server, uint64_t fence, Instant now)
 {
-    item.outstanding = m_nextOrder++;
-    item.outstandingKind = kind;
-    item.outstandingServer = server;
-    item.orderedAt = now;
+    state.outstanding = m_nextOrder++;
+    state.outstandingKind = kind;
+    state.outstandingServer = server;
+    state.orderedAt = now;
     GrantOrder order;
     order.kind = kind;
-    order.range = item.id;
-    order.number = item.outstanding;
+    order.range = state.id;
+    order.number = state.outstanding;
     order.server = server;
-    order.first = item.range.first;
-    order.last = item.range.last;
+    order.first = state.range.first;
+    order.last = state.range.last;
     order.fence = fence;
-    order.hold = m_timing.hold;
+    order.leaseDuration = m_timing.leaseDuration;
     if (kind == GrantOrder::Kind::Grant)
-        order.handover = item.handover;
+        order.handover = state.handover;
     return order;
 }
 
 Millis GrantPlan::renewalInterval() const
 {
-    const double seconds = static_cast<double>(m_items.size()) / m_timing.renewalsPerSecond;
-    return std::clamp(Millis(static_cast<int64_t>(seconds * 1000)), m_timing.renewEvery, m_timing.renewAtLeastEvery);
+    const double seconds = static_cast<double>(m_ranges.size()) / m_timing.renewalsPerSecond;
+    return std::clamp(
+        Millis(static_cast<int64_t>(seconds * 1000)), m_timing.minRenewInterval, m_timing.maxRenewInterval);
 }
 
-std::optional<GrantOrder> GrantPlan::steadyOrder(Item& item, Instant now)
+std::optional<GrantOrder> GrantPlan::renewalOrder(RangeState& state, Instant now)
 {
-    if (item.range.holder.empty() || item.outstanding)
+    if (state.range.holder.empty() || state.outstanding)
         return std::nullopt;
-    const auto answers = m_answers.find(item.range.holder);
-    const bool quick = !item.confirmed || (answers != m_answers.end() && answers->second.misses);
-    if (now - item.orderedAt < (quick ? m_timing.retryEvery : renewalInterval()) && item.orderedAt != Instant {})
+    const auto contact = m_contacts.find(state.range.holder);
+    const bool retrySoon = !state.confirmed || (contact != m_contacts.end() && contact->second.missedAnswers);
+    if (now - state.orderedAt < (retrySoon ? m_timing.retryInterval : renewalInterval())
+        && state.orderedAt != Instant {})
         return std::nullopt;
-    return makeOrder(item, GrantOrder::Kind::Grant, item.range.holder, item.range.fence, now);
+    return makeOrder(state, GrantOrder::Kind::Grant, state.range.holder, state.range.fence, now);
 }
 
-std::optional<GrantOrder> GrantPlan::movingOrder(Item& item, Instant now)
+std::optional<GrantOrder> GrantPlan::moveOrder(RangeState& state, Instant now)
 {
-    if (item.outstanding && item.outstandingKind == GrantOrder::Kind::Grant)
+    if (state.outstanding && state.outstandingKind == GrantOrder::Kind::Grant)
         return std::nullopt; // its effects are not known yet
-    const bool pausing = now - item.orderedAt < m_timing.retryEvery && item.outstandingServer == item.range.holder;
-    if (!item.holderDone && now >= freeAt(item)) {
-        item.holderDone = true;
-        if (item.outstandingKind == GrantOrder::Kind::Release)
-            item.outstanding = 0; // the release is given up: what it would end has run out
-        note(item, "hold-ended", "without an answer from the owner");
+    const bool retriedRecently
+        = now - state.orderedAt < m_timing.retryInterval && state.outstandingServer == state.range.holder;
+    if (!state.freedByHolder && now >= holderExpiry(state)) {
+        state.freedByHolder = true;
+        if (state.outstandingKind == GrantOrder::Kind::Release)
+            state.outstanding = 0; // the release is given up: what it would end has run out
+        recordEvent(state, "hold-ended", "without an answer from the owner");
     }
-    if (item.outstanding)
+    if (state.outstanding)
         return std::nullopt;
-    if (!item.holderDone) {
-        if (item.released || now < item.announcedAt + m_timing.announce || pausing)
+    if (!state.freedByHolder) {
+        if (state.released || now < state.announcedAt + m_timing.releaseDelay || retriedRecently)
             return std::nullopt;
-        return makeOrder(item, GrantOrder::Kind::Release, item.range.holder, item.range.fence, now);
+        return makeOrder(state, GrantOrder::Kind::Release, state.range.holder, state.range.fence, now);
     }
-    if (item.nextOrdered && now - item.orderedAt < m_timing.retryEvery)
+    if (state.nextMayHold && now - state.orderedAt < m_timing.retryInterval)
         return std::nullopt;
-    item.nextOrdered = true;
-    return makeOrder(item, GrantOrder::Kind::Grant, item.range.next, item.range.nextFence, now);
+    state.nextMayHold = true;
+    return makeOrder(state, GrantOrder::Kind::Grant, state.range.next, state.range.nextFence, now);
 }
 
 std::vector<GrantOrder> GrantPlan::due(Instant now)
@@ -587,15 +596,15 @@
     std::vector<GrantOrder> orders;
     if (m_deposed)
         return orders;
-    for (auto& item : m_items) {
+    for (auto& state : m_ranges) {
         std::optional<GrantOrder> order;
-        if (item.range.moving()) {
-            if (announced(item))
-                order = movingOrder(item, now);
-        } else if (announced(item) || item.confirmed) {
+        if (state.range.moving()) {
+            if (announced(state))
+                order = moveOrder(state, now);
+        } else if (announced(state) || state.confirmed) {
             // A range that has just moved is renewed before its table is written: the move was announced, and with
             // the store away the new owner must not lose it.
-            order = steadyOrder(item, now);
+            order = renewalOrder(state, now);
         }
         if (order)
             orders.push_back(std::move(*order));
@@ -609,38 +618,38 @@
     table.service = m_service;
     table.edition = { m_term, m_edition };
     table.highestFence = m_fenceLimit;
-    table.ranges.reserve(m_items.size());
-    for (const auto& item : m_items)
-        table.ranges.push_back(item.range);
+    table.ranges.reserve(m_ranges.size());
+    for (const auto& state : m_ranges)
+        table.ranges.push_back(state.range);
     return table;
 }
 
 void GrantPlan::onWritten(uint64_t edition, Instant now)
 {
-    for (auto& item : m_items) {
-        if (item.edition > m_written && item.edition <= edition)
-            item.announcedAt = now;
+    for (auto& state : m_ranges) {
+        if (state.edition > m_writtenEdition && state.edition <= edition)
+            state.announcedAt = now;
     }
-    m_written = std::max(m_written, edition);
+    m_writtenEdition = std::max(m_writtenEdition, edition);
     m_lastWrite = now;
-    if (edition >= m_limitEdition)
-        m_writtenLimit = m_fenceLimit;
+    if (edition >= m_fenceLimitEdition)
+        m_writtenFenceLimit = m_fenceLimit;
 }
 
 // --- Looking
 
 std::vector<GrantEvent> GrantPlan::takeEvents() { return std::exchange(m_events, {}); }
 
-bool GrantPlan::mostAreSilent() const
+bool GrantPlan::mostAreUnresponsive() const
 {
-    if (std::none_of(m_answers.begin(), m_answers.end(), [](const auto& entry) { return entry.second.silent; }))
+    if (std::none_of(m_contacts.begin(), m_contacts.end(), [](const auto& entry) { return entry.second.unresponsive; }))
         return false; // as a rule; counting some thousand holders at each look costs more
     std::set<std::string_view> holders;
-    for (const auto& item : m_items)
-        holders.insert(item.range.holder);
-    const auto silent
-        = std::count_if(holders.begin(), holders.end(), [&](std::string_view holder) { return isSilent(holder); });
-    return holders.size() > 2 && static_cast<size_t>(silent) * 2 > holders.size();
+    for (const auto& state : m_ranges)
+        holders.insert(state.range.holder);
+    const auto unresponsive = std::count_if(
+        holders.begin(), holders.end(), [&](std::string_view holder) { return isUnresponsive(holder); });
+    return holders.size() > 2 && static_cast<size_t>(unresponsive) * 2 > holders.size();
 }
 
 }
--- a/packages/decisions/GrantPlan.h
+++ b/packages/decisions/GrantPlan.h
@@ -32,34 +32,38 @@
 namespace cumindale {
 
 struct GrantTiming {
-    Millis hold { 3'000 }; // a lost server's keys wait for it; a coordinator's loss must be over before (about 2 s)
-    Millis renewEvery { 600 }; // several tries within one hold
-    Millis renewAtLeastEvery { 1'000 }; // a third of the hold: with many ranges, so that two tries may fail
+    Millis leaseDuration {
+        3'000
+    }; // a lost server's keys wait for it; a coordinator's loss must be over before (about 2 s)
+    Millis minRenewInterval { 600 }; // several tries within one hold
+    Millis maxRenewInterval { 1'000 }; // a third of the hold: with many ranges, so that two tries may fail
     double renewalsPerSecond = 1'000; // about 10% of a core: with more ranges they are renewed less often, down to that
-    Millis retryEvery { 150 }; // after an order without an answer
-    Millis announce { 40 }; // between the write of a move and the release: hosts stop sending first
-    Millis lazyWrite { 1'500 }; // an ended move is written so late, or with the next announcement
+    Millis retryInterval { 150 }; // after an order without an answer
+    Millis releaseDelay { 40 }; // between the write of a move and the release: hosts stop sending first
+    Millis lazyWriteDelay { 1'500 }; // an ended move is written so late, or with the next announcement
     // Ranges for each server at first: busy keys lie close together and spread so. Each range is renewed by a call of
     // its own, so a large service gets fewer for each server.
-    unsigned firstParts = 4;
-    unsigned firstRanges = 200;
+    unsigned initialRangesPerServer = 4;
+    unsigned maxInitialRanges = 200;
     Millis margin { 150 }; // for timers that fire late, at the server and here
     // Fences that the table in the store covers ahead of the highest one in use. One is used for each range of a server
     // at each loss of a connection; at half of it a table is written that covers as many more.
-    uint64_t fencesAhead = 4'000;
-    double slowClock = 1.02; // a server's clock may measure a hold so much longer
+    uint64_t fenceReserve = 4'000;
+    double clockDriftFactor = 1.02; // a server's clock may measure a hold so much longer
     Millis orderTimeout { 400 }; // after it an order's connection is reset: it arrived before or never
     // A server is silent after so many orders in a row without an answer, and so long without any: one that is
     // overloaded resets connections now and then.
-    unsigned missesUntilSuspect = 2;
-    Millis silence { 800 };
+    unsigned missesUntilUnresponsive = 2;
+    Millis unresponsiveAfter { 800 };
     // While hosts get answers from it, orders or their answers are lost on the way: another try costs nothing, and
     // moving its keys would leave them without an owner until its hold has run out.
-    Millis silenceWhileServing { 2'000 };
-    Millis servingWithin { 700 }; // a host's report of an answer counts for so long: two report intervals and their way
+    Millis unresponsiveAfterWhileServing { 2'000 };
+    Millis serverUseLifetime {
+        700
+    }; // a host's report of an answer counts for so long: two report intervals and their way
     // A coordinator that can't reach the store goes on renewing for so long (longer than the outages that hosts
     // see), and a new one waits as long for holders that it can't reach.
-    Millis renewsWithoutStore { 12'000 };
+    Millis maxRenewalWithoutStore { 12'000 };
 };
 
 // One call to a server.
@@ -72,7 +76,7 @@
     uint32_t first = 0;
     uint32_t last = 0;
     uint64_t fence = 0;
-    Millis hold { 0 };
+    Millis leaseDuration { 0 };
     std::string handover; // opaque, from the former holder
 };
 
@@ -118,16 +122,19 @@
     using Servers = std::map<std::string, RegisteredServer, std::less<>>;
     // Plans moves away from servers that leave, are gone, don't answer, or take hardly any requests while they warm up.
     void maintain(const Servers&, Instant now);
-    void sparesWarmingUp(bool spares) { m_sparesWarmingUp = spares; } // servers that warm up are to get nothing new
+    void avoidWarmingUpServers(bool avoid)
+    {
+        m_avoidWarmingUpServers = avoid;
+    } // servers that warm up are to get nothing new
     // The fence with which an order goes out over this connection. Nothing: it must not be sent, and counts as not
     // sent.
     std::optional<uint64_t> fenceToSend(const GrantOrder&, bool newConnection);
     void onAnswer(const OrderAnswer&);
-    void served(const std::string& server, Instant at); // a host has had an answer of it
+    void onServedRequest(const std::string& server, Instant at); // a host has had an answer of it
     bool move(uint32_t first, uint32_t last, const std::string& to, std::string why); // cut out and moved; false: busy
     // The former coordinator sends nothing after `at`: holders that can't be reached are waited for no longer than one
     // hold from then.
-    void formerStopped(Instant at);
+    void onPreviousStopped(Instant at);
 
     // --- What to do
     std::vector<GrantOrder> due(Instant now);
@@ -141,8 +148,8 @@
     // --- Looking
     std::vector<GrantEvent> takeEvents();
     uint64_t edition() const { return m_edition; } // of table()
-    bool mostAreSilent() const; // of the servers that hold ranges: more likely this host is cut off than they
-    bool isSilent(std::string_view server) const;
+    bool mostAreUnresponsive() const; // of the servers that hold ranges: more likely this host is cut off than they
+    bool isUnresponsive(std::string_view server) const;
     const std::string& service() const { return m_service; }
 
 private:
@@ -152,87 +159,87 @@
         uint64_t connection = 0; // of the server, as counted in Answers
     };
 
-    struct Item {
+    struct RangeState {
         KeyRange range;
         uint64_t id = 0;
         uint64_t edition = 0; // of the table that first shows it as it is
         bool confirmed = false; // the holder took the present fence
-        bool holderDone = false; // moving: the former holder surely holds nothing any more
+        bool freedByHolder = false; // moving: the former holder surely holds nothing any more
         bool released = false; // moving: the holder answered a release
-        bool nextOrdered = false; // moving: the next server may have been granted the range
+        bool nextMayHold = false; // moving: the next server may have been granted the range
         uint64_t outstanding = 0; // number of the order under way; 0: none
         GrantOrder::Kind outstandingKind = GrantOrder::Kind::Grant;
         std::string outstandingServer;
         Instant orderedAt {};
         Instant announcedAt {}; // when the present edition was in the store
-        Instant holdsUntil {}; // the holder may hold it until then, by orders of ours that were answered
-        Instant unansweredUntil {}; // by orders of ours without an answer
-        Instant formerUntil {}; // by orders of a former coordinator
-        Instant nextHoldsUntil {}; // the next server, by orders of ours without an answer
-        Instant nextFormerUntil {}; // the next server, by orders of a former coordinator
+        Instant confirmedLeaseUntil {}; // the holder may hold it until then, by orders of ours that were answered
+        Instant unansweredLeaseUntil {}; // by orders of ours without an answer
+        Instant inheritedLeaseUntil {}; // by orders of a former coordinator
+        Instant nextUnansweredLeaseUntil {}; // the next server, by orders of ours without an answer
+        Instant nextInheritedLeaseUntil {}; // the next server, by orders of a former coordinator
         SentFence sent; // to the holder
         SentFence nextSent; // to the next server
         std::string handover;
     };
 
-    Instant lapseOf(Instant arrivedBy) const;
-    Instant freeAt(const Item&) const; // from then on the holder surely holds nothing
-    bool announced(const Item& item) const { return item.edition <= m_written; }
+    Instant leaseExpiry(Instant arrivedBy) const;
+    Instant holderExpiry(const RangeState&) const; // from then on the holder surely holds nothing
+    bool announced(const RangeState& state) const { return state.edition <= m_writtenEdition; }
     enum class Urgency : uint8_t { Announcement, Lazy };
-    void touch(Item&, Urgency); // it differs from what the store holds
-    void moveAway(Item&, const Servers&, std::string why, Instant now);
-    void setNext(Item&, const std::string& to, std::string why);
+    void markChanged(RangeState&, Urgency); // it differs from what the store holds
+    void moveAway(RangeState&, const Servers&, std::string why, Instant now);
+    void setNext(RangeState&, const std::string& to, std::string why);
     void raiseFenceLimit();
     bool usable(const Servers&, const std::string& server) const;
-    bool spared(const RegisteredServer&, Instant now) const; // it is warming up, and is to get nothing new
+    bool isAvoided(const RegisteredServer&, Instant now) const; // it is warming up, and is to get nothing new
     std::string laterIncarnationOf(const Servers&, const std::string& server) const; // empty: none that is usable
     std::string bestTarget(const Servers&, const std::string& except, Instant now) const;
-    bool anyWarm(const Servers&, Instant now) const;
-    std::string reasonToLeave(const Servers&, const KeyRange&, bool cutOff, bool anyWarm, Instant now) const;
-    void spreadFirst(const Servers&);
-    void maintainMoving(Item&, const Servers&, Instant now);
-    void noteHolderState(Item&, Instant now); // of a moving range
-    bool serves(std::string_view server, Instant now) const; // answers hosts
-    void join(); // neighbours that are held by one server with one fence become one range
-    Item* find(uint64_t id);
+    bool anyWarmedUp(const Servers&, Instant now) const;
+    std::string reasonToMove(const Servers&, const KeyRange&, bool isolated, bool anyWarmedUp, Instant now) const;
+    void assignInitialRanges(const Servers&);
+    void updateMove(RangeState&, const Servers&, Instant now);
+    void updateHolderState(RangeState&, Instant now); // of a moving range
+    bool isServing(std::string_view server, Instant now) const; // answers hosts
+    void mergeNeighbours(); // neighbours that are held by one server with one fence become one range
+    RangeState* find(uint64_t id);
     Millis renewalInterval() const;
-    std::optional<GrantOrder> steadyOrder(Item&, Instant now);
-    std::optional<GrantOrder> movingOrder(Item&, Instant now);
-    GrantOrder makeOrder(Item&, GrantOrder::Kind, const std::string& server, uint64_t fence, Instant now);
-    void onGrantAnswer(Item&, const OrderAnswer&);
-    void onReleaseAnswer(Item&, const OrderAnswer&);
-    void noteAnswer(const std::string& server, OrderResult, Instant endedAt);
-    void note(const Item&, std::string what, std::string why);
+    std::optional<GrantOrder> renewalOrder(RangeState&, Instant now);
+    std::optional<GrantOrder> moveOrder(RangeState&, Instant now);
+    GrantOrder makeOrder(RangeState&, GrantOrder::Kind, const std::string& server, uint64_t fence, Instant now);
+    void onGrantAnswer(RangeState&, const OrderAnswer&);
+    void onReleaseAnswer(RangeState&, const OrderAnswer&);
+    void recordAnswer(const std::string& server, OrderResult, Instant endedAt);
+    void recordEvent(const RangeState&, std::string what, std::string why);
 
     std::string m_service;
     GrantTiming m_timing;
     int64_t m_term;
-    std::vector<Item> m_items; // ascending
+    std::vector<RangeState> m_ranges; // ascending
     uint64_t m_nextId = 1;
     uint64_t m_nextOrder = 1;
     uint64_t m_highestFence = 0; // in use
     uint64_t m_fenceLimit = 0; // of the table: no fence above it is used
-    uint64_t m_limitEdition = 0; // of the table that first shows this limit
-    uint64_t m_writtenLimit = 0; // of a table that is in the store
+    uint64_t m_fenceLimitEdition = 0; // of the table that first shows this limit
+    uint64_t m_writtenFenceLimit = 0; // of a table that is in the store
     uint64_t m_edition = 0;
-    uint64_t m_written = 0;
-    uint64_t m_announcing = 0; // highest edition with an announcement
+    uint64_t m_writtenEdition = 0;
+    uint64_t m_lastAnnouncementEdition = 0; // highest edition with an announcement
     Instant m_lastWrite {};
-    struct Answers {
-        unsigned misses = 0; // orders in a row without an answer
+    struct ServerContact {
+        unsigned missedAnswers = 0; // orders in a row without an answer
         uint64_t connections = 0; // made to it so far
-        Instant last {}; // when it last answered
-        Instant served {}; // when it last answered a host
-        bool silent = false;
+        Instant lastAnswer {}; // when it last answered
+        Instant lastServed {}; // when it last answered a host
+        bool unresponsive = false;
     };
 
-    std::map<std::string, Answers, std::less<>> m_answers; // by server
+    std::map<std::string, ServerContact, std::less<>> m_contacts; // by server
     bool m_deposed = false;
-    bool m_sparesWarmingUp = false;
+    bool m_avoidWarmingUpServers = false;
     std::vector<GrantEvent> m_events;
 };
 
 // The incarnation that is registered under a server's name; null: none.
-const RegisteredServer* registeredUnder(const GrantPlan::Servers&, std::string_view name);
+const RegisteredServer* registeredIncarnation(const GrantPlan::Servers&, std::string_view name);
 
 }
--- a/packages/decisions/GrantTable.h
+++ b/packages/decisions/GrantTable.h
@@ -10,23 +10,23 @@
 
 namespace cumindale {
 
-constexpr uint32_t numberedKeys = 65'536;
+constexpr uint32_t keySpaceSize = 65'536;
 
 // What the holder of a moving range does.
 enum class HolderState : uint8_t {
-    LettingGo, // it is asked to, or has: a matter of milliseconds
+    Releasing, // it is asked to, or has: a matter of milliseconds
     Lost, // it answers nobody: its hold must run out
     Unreachable, // it answers hosts but not the coordinator: it serves until its hold runs out, and then refuses
 };
 
 struct KeyRange {
     uint32_t first = 0;
-    uint32_t last = numberedKeys - 1; // included
+    uint32_t last = keySpaceSize - 1; // included
     std::string holder; // server id; empty: nobody yet
     uint64_t fence = 0; // of the holder's grant
     std::string next; // server id to which it moves; empty: it stays
     uint64_t nextFence = 0;
-    HolderState holderState = HolderState::LettingGo; // of a moving range
+    HolderState holderState = HolderState::Releasing; // of a moving range
 
     bool operator==(const KeyRange&) const = default;
     bool moving() const { return !next.empty(); }
--- a/packages/decisions/KeyBalance.cpp
+++ b/packages/decisions/KeyBalance.cpp
@@ -10,8 +10,8 @@
 void KeyLoad::add(uint32_t key, double millis)
 {
     if (m_load.empty())
-        m_load.resize(numberedKeys, 0);
-    if (key < numberedKeys)
+        m_load.resize(keySpaceSize, 0);
+    if (key < keySpaceSize)
         m_load[key] += millis;
 }
 
@@ -23,10 +23,10 @@
 
 void KeyLoad::index()
 {
-    m_sums.assign(numberedKeys + 1, 0);
+    m_sums.assign(keySpaceSize + 1, 0);
     if (m_load.empty())
         return;
-    for (uint32_t key = 0; key < numberedKeys; ++key)
+    for (uint32_t key = 0; key < keySpaceSize; ++key)
         m_sums[key + 1] = m_sums[key] + m_load[key];
 }
 
@@ -53,7 +53,7 @@
         Weigher(const KeyLoad& load, double slots, double shareOfSpace)
             : m_load(load)
             , m_perMillis(load.total() > 0 ? (1 - shareOfSpace) * slots / load.total() : 0)
-            , m_perKey((load.total() > 0 ? shareOfSpace : 1) * slots / numberedKeys)
+            , m_perKey((load.total() > 0 ? shareOfSpace : 1) * slots / keySpaceSize)
         {
         }
 
--- a/packages/decisions/OfficeRules.h
+++ b/packages/decisions/LeadershipRules.h
@@ -20,33 +20,36 @@
 
 namespace cumindale {
 
-struct OfficeTiming {
+struct LeadershipTiming {
     Millis lease { 1'500 }; // of the office in the store
-    Millis freshness { 1'200 }; // of a host's report; a few report intervals
+    Millis reportLifetime { 1'200 }; // of a host's report; a few report intervals
     Millis reportTimeout { 400 }; // a report arrives within it or never
-    Millis longest { 12'000 }; // without the store; longer than the outages that hosts see
+    Millis maxWithoutStore { 12'000 }; // without the store; longer than the outages that hosts see
 };
 
-class OfficeRules {
+class LeadershipRules {
 public:
-    explicit OfficeRules(OfficeTiming timing)
+    explicit LeadershipRules(LeadershipTiming timing)
         : m_timing(timing)
     {
     }
 
-    void setListed(std::set<std::string, std::less<>> hosts) { m_listed = std::move(hosts); } // as in the store
-    const std::set<std::string, std::less<>>& listed() const { return m_listed; }
-    void reported(std::string_view host, Instant now);
+    void setListedHosts(std::set<std::string, std::less<>> hosts)
+    {
+        m_listedHosts = std::move(hosts);
+    } // as in the store
+    const std::set<std::string, std::less<>>& listedHosts() const { return m_listedHosts; }
+    void onReport(std::string_view host, Instant now);
 
     // `confirmed`: when the store was asked that last said that the office is this host's.
     bool mayAct(Instant confirmed, Instant now) const;
     // Whether enough hosts report here that a former coordinator must stop, and when it has, at the latest.
-    bool formerIsAlone() const;
-    Instant formerEnd(Instant now) const { return now + m_timing.freshness + m_timing.reportTimeout; }
+    bool previousLostMajority() const;
+    Instant previousStoppedBy(Instant now) const { return now + m_timing.reportLifetime + m_timing.reportTimeout; }
 
 private:
-    OfficeTiming m_timing;
-    std::set<std::string, std::less<>> m_listed;
+    LeadershipTiming m_timing;
+    std::set<std::string, std::less<>> m_listedHosts;
     std::map<std::string, Instant, std::less<>> m_reports; // of listed hosts in this term
 };
 
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -82,13 +82,13 @@
     m_silentSince = m_clock.now();
     m_lastBalance = m_clock.now();
     m_listedAt = m_clock.now();
-    m_office = OfficeRules(m_options.office);
-    m_office.setListed(m_view.listedHosts());
+    m_office = LeadershipRules(m_options.office);
+    m_office.setListedHosts(m_view.listedHosts());
     for (const auto& request : m_view.quarantine())
         m_crashes.restore(request);
     m_quarantineWritten = m_crashes.edition();
     logChange(
-        LogLevel::Info, "coordination-begun", { { "term", m_term }, { "listedHosts", m_office.listed().size() } });
+        LogLevel::Info, "coordination-begun", { { "term", m_term }, { "listedHosts", m_office.listedHosts().size() } });
 }
 
 void Coordinator::endTerm()
@@ -125,7 +125,7 @@
     bool cutOff = false;
     for (auto& [service, plan] : m_plans) {
         const RoutedService* rules = m_view.rules()->service(service);
-        plan->sparesWarmingUp(rules && rules->warmUp.isSet());
+        plan->avoidWarmingUpServers(rules && rules->warmUp.isSet());
         plan->maintain(*known, now);
         for (auto& order : plan->due(now))
             send(std::move(order), service);
@@ -136,7 +136,7 @@
             endTerm();
             return;
         }
-        cutOff |= plan->mostAreSilent();
+        cutOff |= plan->mostAreUnresponsive();
         publish(*plan);
     }
     overtakeUnanswered();
@@ -172,7 +172,7 @@
             m_formers[name] = table->coordinator;
             // This host's own former term has ended here; what it had sent arrives soon or never.
             if (table->coordinator == m_options.host)
-                formerStopped(name, now, "it was this host");
+                onPreviousStopped(name, now, "it was this host");
         } else {
             plan->begin(now);
         }
@@ -241,7 +241,7 @@
 void Coordinator::rememberFormerIncarnation(const std::string& server)
 {
     const auto servers = m_view.servers();
-    const RegisteredServer* later = registeredUnder(*servers, serverNameOf(server));
+    const RegisteredServer* later = registeredIncarnation(*servers, serverNameOf(server));
     if (!later)
         return;
     ServerState& state = m_servers[server];
@@ -409,7 +409,7 @@
     std::set<std::string, std::less<>> hosts;
     for (const auto& [name, host] : m_hosts)
         hosts.insert(name);
-    if (hosts == m_office.listed())
+    if (hosts == m_office.listedHosts())
         hosts.clear();
     return hosts;
 }
@@ -484,7 +484,7 @@
         m_quarantineWritten = writing.quarantineEdition;
     if (!writing.hosts.empty()) {
         m_view.noteListed(writing.hosts, revision);
-        m_office.setListed(std::move(writing.hosts));
+        m_office.setListedHosts(std::move(writing.hosts));
     }
     m_changed.notifyAll();
 }
@@ -526,13 +526,13 @@
     const double mean = meanWorkMillis(plan);
     const Instant now = m_clock.now();
     const RoutedService* service = m_view.rules()->service(plan.service());
-    const bool sparesWarmingUp = service && service->warmUp.isSet();
+    const bool avoidWarmingUpServers = service && service->warmUp.isSet();
     std::vector<ServerCapacity> usable;
     const auto known = servers();
     for (const auto& [id, server] : *known) {
-        if (server.service != plan.service() || server.withdrawn() || plan.isSilent(id))
+        if (server.service != plan.service() || server.withdrawn() || plan.isUnresponsive(id))
             continue;
-        if (sparesWarmingUp && server.warmingUp(now))
+        if (avoidWarmingUpServers && server.warmingUp(now))
             continue;
         // Servers differ in speed: one that takes longer for its work gets less of it. Bounded, since few requests may
         // look slow or quick by chance.
@@ -615,17 +615,17 @@
     for (const auto& [service, former] : formers) {
         // A report from the former coordinator's own host: it knows of this one, or has begun anew.
         if (reporter == former)
-            formerStopped(service, now, "its host reports here");
-        else if (m_office.formerIsAlone())
-            formerStopped(service, m_office.formerEnd(now), "half of the hosts report here");
+            onPreviousStopped(service, now, "its host reports here");
+        else if (m_office.previousLostMajority())
+            onPreviousStopped(service, m_office.previousStoppedBy(now), "half of the hosts report here");
     }
 }
 
-void Coordinator::formerStopped(const std::string& service, Instant at, std::string_view why)
+void Coordinator::onPreviousStopped(const std::string& service, Instant at, std::string_view why)
 {
     logChange(LogLevel::Info, "former-coordinator-stopped",
         { { "service", service }, { "former", m_formers[service] }, { "why", why } });
-    m_plans.at(service)->formerStopped(at);
+    m_plans.at(service)->onPreviousStopped(at);
     m_formers.erase(service);
 }
 
@@ -641,7 +641,7 @@
         return advice;
     HostState& host = m_hosts[report.sender];
     host.heard = m_clock.now();
-    m_office.reported(report.sender, host.heard);
+    m_office.onReport(report.sender, host.heard);
     noteFormers(report.sender);
     host.strength = report.strengthCenti / centi;
     if (report.sender != m_options.host)
@@ -782,7 +782,7 @@
         m_shares.report(report.sender, use, server.slots, now);
         const auto plan = m_plans.find(server.service);
         if (use.workMicros > 0 && plan != m_plans.end())
-            plan->second->served(use.server, now);
+            plan->second->onServedRequest(use.server, now);
         const bool keyed = plan != m_plans.end();
         auto share = m_shares.shareFor(report.sender, use.server, server.slots, keyed, now);
         if (!share)
--- a/packages/gateway/Coordinator.h
+++ b/packages/gateway/Coordinator.h
@@ -8,7 +8,7 @@
 #include "decisions/CrashEvidence.h"
 #include "decisions/GrantPlan.h"
 #include "decisions/KeyBalance.h"
-#include "decisions/OfficeRules.h"
+#include "decisions/LeadershipRules.h"
 #include "gateway/Announcer.h"
 #include "gateway/PlatformAdapter.h"
 #include "gateway/PlatformView.h"
@@ -30,7 +30,7 @@
 struct CoordinatorOptions {
     std::string host;
     GrantTiming grants;
-    OfficeTiming office;
+    LeadershipTiming office;
     BalanceOptions balance;
     ShareOptions shares;
     Millis registrationPause { 700 }; // without a new server, before a new service's keys are dealt
@@ -92,7 +92,7 @@
     bool allRegistered(const std::string& service);
     void publish(GrantPlan&);
     void noteFormers(std::string_view reporter);
-    void formerStopped(const std::string& service, Instant at, std::string_view why);
+    void onPreviousStopped(const std::string& service, Instant at, std::string_view why);
     bool standsBy(std::string_view host) const;
     Millis reportInterval() const;
     void balance();
@@ -163,7 +163,7 @@
     std::map<std::string, HostState, std::less<>> m_hosts;
     Announcer m_announcer;
     bool m_writing = false;
-    OfficeRules m_office;
+    LeadershipRules m_office;
     std::map<std::string, std::string> m_formers; // by service: the host whose orders may still be under way
     Instant m_listedAt {};
     Instant m_lastBalance {};
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -324,7 +324,7 @@
     const RoutedService* service = m_rules->service(job.service);
     job.keyed = service && service->keyed;
     // A request without a key may run wherever its key would be: any one does.
-    job.key = static_cast<uint32_t>(numberIn(request[m_names.key], randomNumber()) % numberedKeys);
+    job.key = static_cast<uint32_t>(numberIn(request[m_names.key], randomNumber()) % keySpaceSize);
     stripForServer(request);
     budgetOf(job.service).firstTry();
     if (job.keyed)
@@ -404,7 +404,7 @@
         return { ErrorKind::NoOwner, nullptr, true };
     const HolderState state = range->holderState;
     if (range->moving() && state != HolderState::Unreachable)
-        return { ErrorKind::Moving, nullptr, state == HolderState::LettingGo };
+        return { ErrorKind::Moving, nullptr, state == HolderState::Releasing };
     const auto server = m_servers.find(range->holder);
     if (server == m_servers.end())
         return { ErrorKind::NoOwner, nullptr, false };
--- a/packages/gateway/GatewayControl.cpp
+++ b/packages/gateway/GatewayControl.cpp
@@ -34,11 +34,11 @@
     {
         CoordinatorOptions options;
         options.host = settings.host.name;
-        options.grants.hold = std::min(settings.gateway->longestHold, options.grants.hold);
+        options.grants.leaseDuration = std::min(settings.gateway->longestHold, options.grants.leaseDuration);
         // One figure each for what the election, the office and the plans must agree on: an office that acted longer
         // than its lease, or than a successor waits, could leave a key with two holders.
         options.office.lease = leaseOf(*settings.gateway);
-        options.office.longest = options.grants.renewsWithoutStore;
+        options.office.maxWithoutStore = options.grants.maxRenewalWithoutStore;
         options.office.reportTimeout = reportTimeout;
         return options;
     }
--- a/packages/resources/GrantTableCodec.cpp
+++ b/packages/resources/GrantTableCodec.cpp
@@ -77,11 +77,11 @@
     {
         uint32_t expected = 0;
         for (const auto& range : table.ranges) {
-            if (range.first != expected || range.last < range.first || range.last >= numberedKeys)
+            if (range.first != expected || range.last < range.first || range.last >= keySpaceSize)
                 return false;
             expected = range.last + 1;
         }
-        return expected == numberedKeys;
+        return expected == keySpaceSize;
     }
 
 }
--- a/packages/resources/GrantTableCodec.h
+++ b/packages/resources/GrantTableCodec.h
@@ -20,7 +20,7 @@
 std::string grantTableKey(std::string_view service); // in the store
 bool isGrantTableKey(std::string_view key);
 
-// The hosts by which the coordinator's office is judged (decisions/OfficeRules.h).
+// The hosts by which the coordinator's office is judged (decisions/LeadershipRules.h).
 std::string listedHostsKey(); // in the store
 std::string encodeListedHosts(const std::set<std::string, std::less<>>&);
 std::set<std::string, std::less<>> decodeListedHosts(std::string_view); // empty: malformed
--- a/tests/grant_model.cpp
+++ b/tests/grant_model.cpp
@@ -14,53 +14,53 @@
 
 namespace {
 
-    constexpr Millis stepTime { 10 };
-    constexpr Millis troubled { 40'000 }; // faults come until then
-    constexpr Millis length { 70'000 };
-    constexpr Millis calmFrom { 62'000 }; // everything must be served again
+    constexpr Millis stepDuration { 10 };
+    constexpr Millis faultsUntil { 40'000 }; // faults come until then
+    constexpr Millis duration { 70'000 };
+    constexpr Millis recoveredFrom { 62'000 }; // everything must be served again
     constexpr size_t sampleCount = 12; // keys that are looked at
     constexpr size_t hostCount = 4;
     constexpr size_t serverCount = 5;
-    constexpr Millis lapsesLate { 2'000 }; // an entry outlasts its server by some heartbeats
+    constexpr Millis registrationLag { 2'000 }; // an entry outlasts its server by some heartbeats
     const std::string service = "s";
 
-    uint32_t sampleKey(size_t index) { return static_cast<uint32_t>(index * (numberedKeys / sampleCount) + 77); }
+    uint32_t sampleKey(size_t index) { return static_cast<uint32_t>(index * (keySpaceSize / sampleCount) + 77); }
 
-    struct Hold {
+    struct HeldKey {
         uint64_t seenFence = 0;
-        uint64_t takenFence = 0;
-        uint64_t formerFence = 0; // highest with which former incarnations had the key
-        Instant until {};
+        uint64_t grantedFence = 0;
+        uint64_t previousIncarnationFence = 0; // highest with which former incarnations had the key
+        Instant leaseUntil {};
     };
 
     struct Server {
         std::string name;
-        int64_t born = 0;
+        int64_t incarnation = 0;
         std::string id; // of the present incarnation
         std::string registered; // id that the store shows; empty: none
         bool up = true;
-        bool cut = false; // from all hosts
-        std::array<bool, hostCount> cutFrom {};
+        bool unreachable = false; // from all hosts
+        std::array<bool, hostCount> unreachableFrom {};
         double clock = 1; // a hold lasts so many times as long
-        Instant backAt {};
-        std::array<Hold, sampleCount> holds;
+        Instant restartAt {};
+        std::array<HeldKey, sampleCount> heldKeys;
         Instant registersAt {}; // a new incarnation is known to the store a little later, behind a cut much later
     };
 
-    struct Office {
+    struct Leadership {
         int host = -1;
         int64_t term = 0;
-        Instant lapses {};
+        Instant expiresAt {};
     };
 
     struct Store {
         bool down = false;
-        bool leasesRun = true; // while it is down
-        Office office;
+        bool leasesExpireWhileDown = true; // while it is down
+        Leadership leadership;
         int64_t revision = 1;
         std::optional<GrantTable> table;
         int64_t tableRevision = 0;
-        std::set<std::string, std::less<>> listed;
+        std::set<std::string, std::less<>> listedHosts;
     };
 
     // An order on its way, or the late execution of one.
@@ -83,27 +83,27 @@
         std::string name;
         bool up = true;
         Instant pausedUntil {};
-        Instant backAt {};
+        Instant restartAt {};
         int64_t incarnation = 1;
-        bool cutFromStore = false;
+        bool storeUnreachable = false;
         int64_t knownTerm = 0; // newest coordinator that it knows of
         int knownHost = -1;
         // As coordinator
         int64_t term = 0;
-        Instant confirmed {};
-        Instant nextKeep {};
+        Instant lastConfirmed {};
+        Instant nextRenewal {};
         Instant nextReport {};
         Instant nextWrite {};
         std::unique_ptr<GrantPlan> plan;
-        std::unique_ptr<OfficeRules> office;
-        std::string former;
+        std::unique_ptr<LeadershipRules> rules;
+        std::string previousCoordinator;
         int64_t tableRevision = 0;
         std::array<int64_t, serverCount> connectedTo {}; // born of the incarnation; 0: no connection
     };
 
-    class World {
+    class Simulation {
     public:
-        World(uint64_t seed, const Guards& guards, Restart restart)
+        Simulation(uint64_t seed, const Guards& guards, Restart restart)
             : m_random(seed)
             , m_guards(guards)
             , m_restart(restart)
@@ -111,112 +111,114 @@
             for (size_t i = 0; i < hostCount; ++i)
                 m_hosts[i].name = "host-" + std::to_string(i);
             for (auto& server : m_servers) {
-                startNew(server);
+                startUnderNewName(server);
                 server.name = server.id;
             }
-            if (!guards.waitForHold) {
-                m_timing.slowClock = 0;
+            if (!guards.waitForLeaseExpiry) {
+                m_timing.clockDriftFactor = 0;
                 m_timing.margin = Millis(0);
             }
-            if (!guards.waitForFormer)
-                m_timing.renewsWithoutStore = Millis(0);
+            if (!guards.waitForPreviousCoordinator)
+                m_timing.maxRenewalWithoutStore = Millis(0);
             // Every other history has hosts that lose the store or single servers again and again.
-            m_cuts = seed % 2 ? 6 : 1;
+            m_partitionRate = seed % 2 ? 6 : 1;
         }
 
         Outcome run()
         {
-            for (m_now = Instant(Millis(1'000)); m_now < Instant(length); m_now += stepTime) {
-                if (m_now < Instant(troubled))
-                    bringFaults();
+            for (m_now = Instant(Millis(1'000)); m_now < Instant(duration); m_now += stepDuration) {
+                if (m_now < Instant(faultsUntil))
+                    triggerFaults();
                 else
-                    healAll();
+                    clearFaults();
                 stepStore();
                 deliver();
                 for (size_t i = 0; i < hostCount; ++i)
                     stepHost(i);
-                look();
+                checkHolders();
             }
-            m_outcome.servedShare = static_cast<double>(m_served) / static_cast<double>(std::max<size_t>(1, m_looked));
+            m_outcome.heldShare
+                = static_cast<double>(m_samplesHeld) / static_cast<double>(std::max<size_t>(1, m_samplesChecked));
             return m_outcome;
         }
 
     private:
         double chance() { return std::uniform_real_distribution<double>(0, 1)(m_random); }
-        bool perSecond(double rate) { return chance() < rate * static_cast<double>(stepTime.count()) / 1000; }
+        bool perSecond(double rate) { return chance() < rate * static_cast<double>(stepDuration.count()) / 1000; }
         size_t below(size_t limit) { return std::uniform_int_distribution<size_t>(0, limit - 1)(m_random); }
         Millis between(int64_t least, int64_t most)
         {
             return Millis(std::uniform_int_distribution<int64_t>(least, most)(m_random));
         }
 
-        void startNew(Server& server)
+        void startUnderNewName(Server& server)
         {
             server = Server {};
-            server.born = ++m_lives;
-            server.name = server.id = server.registered = "server-" + std::to_string(server.born);
+            server.incarnation = ++m_incarnations;
+            server.name = server.id = server.registered = "server-" + std::to_string(server.incarnation);
             server.clock = chance() < 0.5 ? 1.02 : 1;
         }
 
-        void startAgain(Server& server)
+        void restartUnderSameName(Server& server)
         {
             Server next;
             next.name = server.name;
-            next.born = ++m_lives;
-            next.id = serverId(next.name, next.born);
+            next.incarnation = ++m_incarnations;
+            next.id = serverId(next.name, next.incarnation);
             next.registered = server.registered;
             next.clock = chance() < 0.5 ? 1.02 : 1;
-            next.cut = server.cut;
-            next.cutFrom = server.cutFrom;
-            ++m_outcome.rebirths;
+            next.unreachable = server.unreachable;
+            next.unreachableFrom = server.unreachableFrom;
+            ++m_outcome.serverRestarts;
             next.registersAt = m_now + (chance() < 0.3 ? between(500, 8'000) : between(4, 60));
             for (size_t i = 0; i < sampleCount; ++i)
-                next.holds[i].formerFence = std::max(server.holds[i].formerFence, server.holds[i].takenFence);
+                next.heldKeys[i].previousIncarnationFence
+                    = std::max(server.heldKeys[i].previousIncarnationFence, server.heldKeys[i].grantedFence);
             server = next;
         }
 
-        void bringFaults()
+        void triggerFaults()
         {
             for (auto& host : m_hosts) {
                 if (perSecond(0.04))
                     host.pausedUntil = m_now + between(200, 6'000);
                 if (perSecond(0.03))
-                    kill(host);
-                if (perSecond(0.06 * m_cuts))
-                    host.cutFromStore = !host.cutFromStore;
+                    crash(host);
+                if (perSecond(0.06 * m_partitionRate))
+                    host.storeUnreachable = !host.storeUnreachable;
             }
             for (auto& server : m_servers) {
                 if (server.up && perSecond(0.02)) {
                     server.up = false;
                     const bool soon = m_restart == Restart::SameName && chance() < 0.5;
-                    server.backAt = m_now + (soon ? between(10, 300) : between(300, 5'000));
+                    server.restartAt = m_now + (soon ? between(10, 300) : between(300, 5'000));
                 }
                 if (perSecond(0.05))
-                    server.cut = !server.cut;
-                if (perSecond(0.05 * m_cuts))
-                    server.cutFrom[below(hostCount)] ^= true;
+                    server.unreachable = !server.unreachable;
+                if (perSecond(0.05 * m_partitionRate))
+                    server.unreachableFrom[below(hostCount)] ^= true;
             }
             if (perSecond(0.05)) {
                 m_store.down = !m_store.down;
-                m_store.leasesRun = chance() < 0.5;
+                m_store.leasesExpireWhileDown = chance() < 0.5;
             }
             if (perSecond(0.1))
-                m_wild = !m_wild;
+                m_lossyNetwork = !m_lossyNetwork;
         }
 
-        void healAll()
+        void clearFaults()
         {
             m_store.down = false;
-            m_wild = false;
+            m_lossyNetwork = false;
             for (auto& host : m_hosts)
-                host.cutFromStore = false;
+                host.storeUnreachable = false;
             for (auto& server : m_servers) {
-                server.cut = false;
-                server.cutFrom.fill(false);
+                server.unreachable = false;
+                server.unreachableFrom.fill(false);
             }
         }
 
-        void kill(Host& host)
+        void crash(Host& host)
         {
             const std::string name = host.name;
             const int64_t incarnation = host.incarnation;
@@ -224,33 +226,33 @@
             host.name = name;
             host.incarnation = incarnation + 1;
             host.up = false;
-            host.backAt = m_now + between(200, 4'000);
+            host.restartAt = m_now + between(200, 4'000);
         }
 
         void stepStore()
         {
-            if (m_store.down && !m_store.leasesRun && m_store.office.host >= 0)
-                m_store.office.lapses += stepTime;
-            if (m_store.office.host >= 0 && m_now >= m_store.office.lapses)
-                m_store.office.host = -1;
+            if (m_store.down && !m_store.leasesExpireWhileDown && m_store.leadership.host >= 0)
+                m_store.leadership.expiresAt += stepDuration;
+            if (m_store.leadership.host >= 0 && m_now >= m_store.leadership.expiresAt)
+                m_store.leadership.host = -1;
             for (auto& server : m_servers) {
-                if (!server.up && m_now >= server.backAt)
-                    m_restart == Restart::SameName ? startAgain(server) : startNew(server);
+                if (!server.up && m_now >= server.restartAt)
+                    m_restart == Restart::SameName ? restartUnderSameName(server) : startUnderNewName(server);
                 if (!m_store.down)
-                    stepEntry(server);
+                    stepRegistration(server);
             }
         }
 
-        void stepEntry(Server& server)
+        void stepRegistration(Server& server)
         {
             if (server.up && m_now >= server.registersAt)
                 server.registered = server.id;
             // An entry outlasts its server by some heartbeats where the server comes back under its name.
-            else if (!server.up && (m_restart == Restart::NewName || m_now >= server.backAt - lapsesLate))
+            else if (!server.up && (m_restart == Restart::NewName || m_now >= server.restartAt - registrationLag))
                 server.registered.clear();
         }
 
-        bool reachesStore(const Host& host) const { return !m_store.down && !host.cutFromStore; }
+        bool reachesStore(const Host& host) const { return !m_store.down && !host.storeUnreachable; }
 
         // The server at the address of the one that an order is for: whichever incarnation of it is up.
         Server* find(const std::string& id)
@@ -269,7 +271,7 @@
 
         bool reaches(size_t host, const Server& server) const
         {
-            return server.up && !server.cut && !server.cutFrom[host];
+            return server.up && !server.unreachable && !server.unreachableFrom[host];
         }
 
         // --- Orders
@@ -284,7 +286,7 @@
             const Server* server = find(order.server);
             int64_t none = 0;
             int64_t& connection = server ? connectionTo(message) : none;
-            if (connection && connection != server->born && reaches(host, *server))
+            if (connection && connection != server->incarnation && reaches(host, *server))
                 connection = 0;
             message.connectedTo = connection;
             if (m_guards.newFenceOnNewConnection) {
@@ -295,17 +297,17 @@
                 }
                 message.order.fence = *fence;
             }
-            const double luck = m_wild ? chance() : 1;
-            if (luck < 0.15) {
+            const double roll = m_lossyNetwork ? chance() : 1;
+            if (roll < 0.15) {
                 answerLater(message, OrderResult::Unanswered, m_now + timeout); // lost on its way
                 return;
             }
             message.arrived = message.at;
-            if (luck < 0.35) { // carried out late, its time counts from the arrival; no answer
+            if (roll < 0.35) { // carried out late, its time counts from the arrival; no answer
                 answerLater(message, OrderResult::Unanswered, m_now + timeout);
                 message.at += between(2'000, 12'000);
                 message.answered = false;
-            } else if (luck < 0.5) { // the answer is lost
+            } else if (roll < 0.5) { // the answer is lost
                 answerLater(message, OrderResult::Unanswered, m_now + timeout);
                 message.answered = false;
             }
@@ -332,13 +334,13 @@
             });
             for (auto& message : due) {
                 if (message.isAnswer)
-                    takeAnswer(message);
+                    receiveAnswer(message);
                 else
-                    carryOut(message);
+                    execute(message);
             }
         }
 
-        void takeAnswer(Message& message)
+        void receiveAnswer(Message& message)
         {
             Host& host = m_hosts[message.host];
             if (host.incarnation != message.incarnation || host.term != message.term || !host.plan)
@@ -353,14 +355,14 @@
             host.plan->onAnswer(message.answer);
         }
 
-        void carryOut(const Message& message)
+        void execute(const Message& message)
         {
             Server* server = find(message.order.server);
             const bool late = !message.answered && message.at > message.arrived;
             const bool reached = server && reaches(message.host, *server);
             // Bytes of a connection to a former incarnation mean nothing to the present one. Of a server's late work
             // nothing outlasts it, either.
-            const bool ended = server && message.connectedTo && message.connectedTo != server->born;
+            const bool ended = server && message.connectedTo && message.connectedTo != server->incarnation;
             if ((!reached && !late) || ended) {
                 if (message.answered)
                     answerLater(message, server ? OrderResult::Unanswered : OrderResult::OtherServer,
@@ -372,7 +374,7 @@
             const OrderResult result = apply(*server, message);
             if (message.answered) {
                 Message answer = message;
-                answer.answeredBy = server->born;
+                answer.answeredBy = server->incarnation;
                 answerLater(answer, result, m_now + between(1, 5));
             }
         }
@@ -380,30 +382,30 @@
         OrderResult apply(Server& server, const Message& message)
         {
             const GrantOrder& order = message.order;
-            std::vector<Hold*> touched;
+            std::vector<HeldKey*> affected;
             for (size_t i = 0; i < sampleCount; ++i) {
                 if (sampleKey(i) >= order.first && sampleKey(i) <= order.last)
-                    touched.push_back(&server.holds[i]);
+                    affected.push_back(&server.heldKeys[i]);
             }
             if (order.kind == GrantOrder::Kind::Release) {
-                for (auto* hold : touched) {
-                    hold->until = {};
-                    hold->seenFence = std::max(hold->seenFence, order.fence);
+                for (auto* heldKey : affected) {
+                    heldKey->leaseUntil = {};
+                    heldKey->seenFence = std::max(heldKey->seenFence, order.fence);
                 }
                 return OrderResult::Done;
             }
-            for (const auto* hold : touched) {
-                if (hold->seenFence > order.fence)
+            for (const auto* heldKey : affected) {
+                if (heldKey->seenFence > order.fence)
                     return OrderResult::HigherFence;
             }
-            const auto time = static_cast<int64_t>(static_cast<double>(order.hold.count()) * server.clock);
-            for (auto* hold : touched) {
+            const auto time = static_cast<int64_t>(static_cast<double>(order.leaseDuration.count()) * server.clock);
+            for (auto* heldKey : affected) {
                 // A grant that was held up tells nothing: it was sent when the former incarnation had the key.
-                m_outcome.staleFences += order.fence <= hold->formerFence && message.at - message.sent < Millis(10)
-                    && m_hosts[message.host].term == m_store.office.term;
-                hold->seenFence = order.fence;
-                hold->takenFence = std::max(hold->takenFence, order.fence);
-                hold->until = std::max(hold->until, message.arrived + Millis(time));
+                m_outcome.staleFences += order.fence <= heldKey->previousIncarnationFence
+                    && message.at - message.sent < Millis(10) && m_hosts[message.host].term == m_store.leadership.term;
+                heldKey->seenFence = order.fence;
+                heldKey->grantedFence = std::max(heldKey->grantedFence, order.fence);
+                heldKey->leaseUntil = std::max(heldKey->leaseUntil, message.arrived + Millis(time));
             }
             ++m_outcome.grantsTaken;
             return OrderResult::Done;
@@ -414,51 +416,52 @@
         void stepHost(size_t index)
         {
             Host& host = m_hosts[index];
-            if (!host.up && m_now >= host.backAt)
+            if (!host.up && m_now >= host.restartAt)
                 host.up = true;
             if (!host.up || m_now < host.pausedUntil)
                 return;
-            if (reachesStore(host) && m_store.office.term > host.knownTerm) {
-                host.knownTerm = m_store.office.term;
-                host.knownHost = m_store.office.host;
+            if (reachesStore(host) && m_store.leadership.term > host.knownTerm) {
+                host.knownTerm = m_store.leadership.term;
+                host.knownHost = m_store.leadership.host;
             }
             if (host.term && host.knownTerm > host.term)
                 endTerm(host);
             if (host.term)
-                keepOffice(index);
-            else if (reachesStore(host) && m_store.office.host < 0 && chance() < 0.1)
-                stand(index);
+                renewLeadership(index);
+            else if (reachesStore(host) && m_store.leadership.host < 0 && chance() < 0.1)
+                becomeLeader(index);
             report(index);
             if (host.term && mayAct(host))
                 coordinate(index);
         }
 
         // From here on nothing moves by plan: a planned move leaves its keys without a holder for some 20 ms.
-        bool settled() const { return m_now >= Instant(calmFrom - Millis(4'000)); }
+        bool movesStopped() const { return m_now >= Instant(recoveredFrom - Millis(4'000)); }
 
         bool mayAct(const Host& host) const
         {
-            return m_guards.officeEnds ? host.office->mayAct(host.confirmed, m_now)
-                                       : m_now - host.confirmed <= m_officeTiming.longest;
+            return m_guards.requireMajorityWithoutStore
+                ? host.rules->mayAct(host.lastConfirmed, m_now)
+                : m_now - host.lastConfirmed <= m_leadershipTiming.maxWithoutStore;
         }
 
         void endTerm(Host& host)
         {
             host.term = 0;
             host.plan.reset();
-            host.office.reset();
+            host.rules.reset();
         }
 
-        void stand(size_t index)
+        void becomeLeader(size_t index)
         {
             Host& host = m_hosts[index];
-            m_store.office = { static_cast<int>(index), ++m_store.revision, m_now + m_officeTiming.lease };
-            host.term = host.knownTerm = m_store.office.term;
+            m_store.leadership = { static_cast<int>(index), ++m_store.revision, m_now + m_leadershipTiming.lease };
+            host.term = host.knownTerm = m_store.leadership.term;
             host.knownHost = static_cast<int>(index);
-            host.confirmed = m_now;
+            host.lastConfirmed = m_now;
             host.plan = std::make_unique<GrantPlan>(service, m_timing, host.term);
-            host.office = std::make_unique<OfficeRules>(m_officeTiming);
-            host.office->setListed(m_store.listed);
+            host.rules = std::make_unique<LeadershipRules>(m_leadershipTiming);
+            host.rules->setListedHosts(m_store.listedHosts);
             host.tableRevision = m_store.tableRevision;
             ++m_outcome.terms;
             if (!m_store.table) {
@@ -466,26 +469,26 @@
                 return;
             }
             host.plan->takeOver(*m_store.table, m_now);
-            host.former = m_store.table->coordinator;
-            if (host.former == host.name)
-                formerStopped(host, m_now);
+            host.previousCoordinator = m_store.table->coordinator;
+            if (host.previousCoordinator == host.name)
+                onPreviousStopped(host, m_now);
         }
 
-        void formerStopped(Host& host, Instant at)
+        void onPreviousStopped(Host& host, Instant at)
         {
-            host.former.clear();
-            host.plan->formerStopped(at);
+            host.previousCoordinator.clear();
+            host.plan->onPreviousStopped(at);
         }
 
-        void keepOffice(size_t index)
+        void renewLeadership(size_t index)
         {
             Host& host = m_hosts[index];
-            if (m_now < host.nextKeep || !reachesStore(host))
+            if (m_now < host.nextRenewal || !reachesStore(host))
                 return;
-            host.nextKeep = m_now + Millis(500);
-            if (m_store.office.host == static_cast<int>(index) && m_store.office.term == host.term) {
-                m_store.office.lapses = m_now + m_officeTiming.lease;
-                host.confirmed = m_now;
+            host.nextRenewal = m_now + Millis(500);
+            if (m_store.leadership.host == static_cast<int>(index) && m_store.leadership.term == host.term) {
+                m_store.leadership.expiresAt = m_now + m_leadershipTiming.lease;
+                host.lastConfirmed = m_now;
             } else {
                 endTerm(host);
             }
@@ -498,14 +501,14 @@
                 return;
             host.nextReport = m_now + Millis(250);
             Host& leader = m_hosts[static_cast<size_t>(host.knownHost)];
-            const bool lost = m_wild && chance() < 0.2;
+            const bool lost = m_lossyNetwork && chance() < 0.2;
             if (!leader.up || m_now < leader.pausedUntil || leader.term != host.knownTerm || lost)
                 return;
-            leader.office->reported(host.name, m_now);
-            if (!leader.former.empty() && leader.former == host.name)
-                formerStopped(leader, m_now);
-            else if (!leader.former.empty() && leader.office->formerIsAlone())
-                formerStopped(leader, leader.office->formerEnd(m_now));
+            leader.rules->onReport(host.name, m_now);
+            if (!leader.previousCoordinator.empty() && leader.previousCoordinator == host.name)
+                onPreviousStopped(leader, m_now);
+            else if (!leader.previousCoordinator.empty() && leader.rules->previousLostMajority())
+                onPreviousStopped(leader, leader.rules->previousStoppedBy(m_now));
         }
 
         void coordinate(size_t index)
@@ -519,12 +522,12 @@
                 entry.id = server.registered;
                 entry.service = service;
                 entry.leaving
-                    = !settled() && m_now.time_since_epoch().count() / 5'000 % 7 == (&server - m_servers.data());
+                    = !movesStopped() && m_now.time_since_epoch().count() / 5'000 % 7 == (&server - m_servers.data());
                 registered.emplace(entry.id, entry);
             }
             host.plan->maintain(registered, m_now);
-            if (!settled() && perSecond(3) && !registered.empty()) {
-                const auto first = static_cast<uint32_t>(below(numberedKeys - 1'000));
+            if (!movesStopped() && perSecond(3) && !registered.empty()) {
+                const auto first = static_cast<uint32_t>(below(keySpaceSize - 1'000));
                 auto to = registered.begin();
                 std::advance(to, static_cast<ptrdiff_t>(below(registered.size())));
                 m_outcome.moves += host.plan->move(first, first + 999, to->first, "for the test");
@@ -544,39 +547,39 @@
                 return;
             GrantTable table = host.plan->table();
             table.coordinator = host.name;
-            if (!m_guards.writeFirst)
+            if (!m_guards.writeBeforeOrders)
                 host.plan->onWritten(table.edition.edition, m_now);
             host.nextWrite = m_now + Millis(30);
             if (!reachesStore(host))
                 return;
-            const bool office = m_store.office.term == host.term && m_store.office.host >= 0;
-            if (!office || m_store.tableRevision != host.tableRevision)
+            const bool leads = m_store.leadership.term == host.term && m_store.leadership.host >= 0;
+            if (!leads || m_store.tableRevision != host.tableRevision)
                 return;
             m_store.table = table;
             m_store.tableRevision = host.tableRevision = ++m_store.revision;
-            m_store.listed.clear();
+            m_store.listedHosts.clear();
             for (const auto& other : m_hosts)
-                m_store.listed.insert(other.name);
-            if (m_wild && chance() < 0.3) {
+                m_store.listedHosts.insert(other.name);
+            if (m_lossyNetwork && chance() < 0.3) {
                 host.nextWrite = m_now + Millis(1'000); // the answer is lost: read back a second later
                 return;
             }
-            host.office->setListed(m_store.listed);
+            host.rules->setListedHosts(m_store.listedHosts);
             host.plan->onWritten(table.edition.edition, m_now);
         }
 
         // --- What must hold
 
-        void look()
+        void checkHolders()
         {
-            const bool calm = m_now >= Instant(calmFrom);
+            const bool calm = m_now >= Instant(recoveredFrom);
             for (size_t key = 0; key < sampleCount; ++key) {
                 int holders = 0;
                 for (const auto& server : m_servers)
-                    holders += server.up && server.holds[key].until > m_now;
+                    holders += server.up && server.heldKeys[key].leaseUntil > m_now;
                 m_outcome.twoHolders += holders > 1;
-                m_looked += calm;
-                m_served += calm && holders == 1;
+                m_samplesChecked += calm;
+                m_samplesHeld += calm && holders == 1;
             }
         }
 
@@ -584,22 +587,25 @@
         Guards m_guards;
         Restart m_restart;
         GrantTiming m_timing;
-        OfficeTiming m_officeTiming;
+        LeadershipTiming m_leadershipTiming;
         Instant m_now {};
         Store m_store;
         std::array<Host, hostCount> m_hosts;
         std::array<Server, serverCount> m_servers;
         std::vector<Message> m_messages;
-        size_t m_lives = 0;
-        double m_cuts = 1;
-        bool m_wild = false; // messages go astray
-        size_t m_looked = 0;
-        size_t m_served = 0;
+        size_t m_incarnations = 0;
+        double m_partitionRate = 1;
+        bool m_lossyNetwork = false; // messages go astray
+        size_t m_samplesChecked = 0;
+        size_t m_samplesHeld = 0;
         Outcome m_outcome;
     };
 
 }
 
-Outcome play(uint64_t seed, const Guards& guards, Restart restart) { return World(seed, guards, restart).run(); }
+Outcome runHistory(uint64_t seed, const Guards& guards, Restart restart)
+{
+    return Simulation(seed, guards, restart).run();
+}
 
 }
--- a/tests/grant_plan_test.cpp
+++ b/tests/grant_plan_test.cpp
@@ -15,35 +15,37 @@
 namespace {
 
 struct Total {
-    std::atomic<size_t> bad { 0 }; // histories with two holders
-    std::atomic<size_t> stale { 0 }; // histories in which a new incarnation of a server took a fence of a former one
-    std::atomic<uint64_t> firstStale { 0 };
-    std::atomic<size_t> rebirths { 0 };
-    std::atomic<uint64_t> firstBad { 0 };
-    std::atomic<size_t> taken { 0 };
+    std::atomic<size_t> twoHolders { 0 }; // histories with two holders
+    std::atomic<size_t> staleFences {
+        0
+    }; // histories in which a new incarnation of a server took a fence of a former one
+    std::atomic<uint64_t> firstStaleSeed { 0 };
+    std::atomic<size_t> serverRestarts { 0 };
+    std::atomic<uint64_t> firstTwoHoldersSeed { 0 };
+    std::atomic<size_t> grantsTaken { 0 };
     std::atomic<size_t> moves { 0 };
     std::atomic<size_t> terms { 0 };
-    std::atomic<size_t> served { 0 }; // histories in which at the end every key is held
+    std::atomic<size_t> fullyHeld { 0 }; // histories in which at the end every key is held
 };
 
-void explore(uint64_t histories, const Guards& guards, Total& total, Restart restart = Restart::NewName)
+void runHistories(uint64_t histories, const Guards& guards, Total& total, Restart restart = Restart::NewName)
 {
     std::atomic<uint64_t> next { 1 };
     std::vector<std::thread> threads;
-    constexpr unsigned mostThreads = 4;
-    for (unsigned i = 0; i < mostThreads; ++i) {
+    constexpr unsigned threadCount = 4;
+    for (unsigned i = 0; i < threadCount; ++i) {
         threads.emplace_back([&] {
             for (uint64_t seed = next++; seed <= histories; seed = next++) {
-                const Outcome outcome = play(seed, guards, restart);
-                if (outcome.twoHolders && !total.bad++)
-                    total.firstBad = seed;
-                if (outcome.staleFences && !total.stale++)
-                    total.firstStale = seed;
-                total.rebirths += outcome.rebirths;
-                total.taken += outcome.grantsTaken;
+                const Outcome outcome = runHistory(seed, guards, restart);
+                if (outcome.twoHolders && !total.twoHolders++)
+                    total.firstTwoHoldersSeed = seed;
+                if (outcome.staleFences && !total.staleFences++)
+                    total.firstStaleSeed = seed;
+                total.serverRestarts += outcome.serverRestarts;
+                total.grantsTaken += outcome.grantsTaken;
                 total.moves += outcome.moves;
                 total.terms += outcome.terms;
-                total.served += outcome.servedShare >= 1;
+                total.fullyHeld += outcome.heldShare >= 1;
             }
         });
     }
@@ -51,10 +53,10 @@
         thread.join();
 }
 
-uint64_t historiesWanted(uint64_t otherwise)
+uint64_t historyCount(uint64_t fallback)
 {
     const char* text = std::getenv("CUMINDALE_HISTORIES");
-    return text ? std::strtoull(text, nullptr, 10) : otherwise;
+    return text ? std::strtoull(text, nullptr, 10) : fallback;
 }
 
 }
@@ -63,21 +65,22 @@
 
 void checkAll(Restart restart)
 {
-    const uint64_t histories = historiesWanted(1'500);
+    const uint64_t histories = historyCount(1'500);
     Total total;
-    explore(histories, {}, total, restart);
-    MESSAGE(histories << " histories, " << total.taken.load() << " grants taken, " << total.moves.load() << " moves, "
-                      << total.terms.load() << " terms; first bad seed " << total.firstBad.load());
-    MESSAGE(total.rebirths.load() << " servers started again; a stale fence in " << total.stale.load()
-                                  << " histories, first seed " << total.firstStale.load());
-    CHECK(total.bad.load() == 0);
-    CHECK(total.stale.load() == 0);
-    CHECK(total.served.load() == histories);
+    runHistories(histories, {}, total, restart);
+    MESSAGE(histories << " histories, " << total.grantsTaken.load() << " grants taken, " << total.moves.load()
+                      << " moves, " << total.terms.load() << " terms; first bad seed "
+                      << total.firstTwoHoldersSeed.load());
+    MESSAGE(total.serverRestarts.load() << " servers started again; a stale fence in " << total.staleFences.load()
+                                        << " histories, first seed " << total.firstStaleSeed.load());
+    CHECK(total.twoHolders.load() == 0);
+    CHECK(total.staleFences.load() == 0);
+    CHECK(total.fullyHeld.load() == histories);
     // The histories must reach the code: several coordinators and many moves in each.
     CHECK(total.terms.load() > 2 * histories);
     CHECK(total.moves.load() > 2 * histories);
     if (restart == Restart::SameName)
-        CHECK(total.rebirths.load() > 2 * histories);
+        CHECK(total.serverRestarts.load() > 2 * histories);
 }
 
 }
@@ -100,7 +103,7 @@
 // have been granted the keys, for their only holder, while server 8 still held them.
 TEST_CASE("a move that a lost coordinator left behind lets go of its holder first, even if its target is gone")
 {
-    CHECK(play(1497, {}).twoHolders == 0);
+    CHECK(runHistory(1497, {}).twoHolders == 0);
 }
 
 // What callers saw: requests for some keys were refused for 14 s after all hosts had been restarted. The new
@@ -126,7 +129,7 @@
     Instant now { Millis(1'000) };
     plan.takeOver(table, now);
     // Answers every order at once, and writes every table.
-    const auto goOn = [&](Millis time) {
+    const auto advance = [&](Millis time) {
         for (const Instant until = now + time; now < until; now += Millis(10)) {
             plan.maintain(servers, now);
             for (const auto& order : plan.due(now))
@@ -135,10 +138,10 @@
                 plan.onWritten(plan.edition(), now);
         }
     };
-    goOn(Millis(2'000)); // until the end of the move is written
+    advance(Millis(2'000)); // until the end of the move is written
     REQUIRE(plan.table().ranges.front().holder == "b");
-    REQUIRE(plan.move(0, numberedKeys - 1, "c", "for the test"));
-    goOn(Millis(300));
+    REQUIRE(plan.move(0, keySpaceSize - 1, "c", "for the test"));
+    advance(Millis(300));
     CHECK(plan.table().ranges.front().holder == "c");
     CHECK_FALSE(plan.table().ranges.front().moving());
 }
@@ -158,14 +161,14 @@
     PlannedService()
     {
         plan.begin(now);
-        goOn(Millis(1'000));
+        advance(Millis(1'000));
     }
 
-    void goOn(Millis time)
+    void advance(Millis time)
     {
         for (const Instant until = now + time; now < until; now += Millis(50)) {
             if (aServes)
-                plan.served("a", now);
+                plan.onServedRequest("a", now);
             plan.maintain(servers, now);
             for (const auto& order : plan.due(now)) {
                 const bool answers = order.server != "a" || aAnswers;
@@ -199,24 +202,24 @@
     service.aAnswers = false;
     SUBCASE("it answers hosts")
     {
-        service.goOn(Millis(1'500));
+        service.advance(Millis(1'500));
         CHECK_FALSE(service.rangeOfA().moving());
         // Without any answer the hold ends at last: its keys go elsewhere, and hosts use it until it refuses.
-        service.goOn(Millis(1'500));
+        service.advance(Millis(1'500));
         REQUIRE(service.rangeOfA().moving());
         CHECK(service.rangeOfA().holderState == HolderState::Unreachable);
         service.aServes = false;
-        service.goOn(Millis(1'000));
+        service.advance(Millis(1'000));
         CHECK(service.rangeOfA().holderState == HolderState::Lost);
     }
     SUBCASE("it answers nobody")
     {
         service.aServes = false;
-        service.goOn(Millis(1'500));
+        service.advance(Millis(1'500));
         REQUIRE(service.rangeOfA().moving());
         CHECK(service.rangeOfA().holderState == HolderState::Lost);
     }
-    service.goOn(Millis(4'000));
+    service.advance(Millis(4'000));
     CHECK(service.rangeOfA().holder.empty()); // all keys are held by the other one
 }
 
@@ -226,9 +229,9 @@
     Guards guards;
     guards.newFenceOnNewConnection = false;
     Total total;
-    explore(historiesWanted(100), guards, total, Restart::SameName);
-    MESSAGE(total.stale.load() << " histories with a stale fence");
-    CHECK(total.stale.load() > 0);
+    runHistories(historyCount(100), guards, total, Restart::SameName);
+    MESSAGE(total.staleFences.load() << " histories with a stale fence");
+    CHECK(total.staleFences.load() > 0);
 }
 
 // What callers saw: the keys of a server that had started again waited for a hold of three seconds. Another server's
@@ -239,7 +242,7 @@
     for (const auto* id : { "x-2@9", "x@7", "x2@3", "xy@1", "y" })
         servers.emplace(id, RegisteredServer { id, "s" });
     const auto idUnder = [&](std::string_view name) {
-        const RegisteredServer* server = registeredUnder(servers, name);
+        const RegisteredServer* server = registeredIncarnation(servers, name);
         return server ? server->id : std::string();
     };
     CHECK(idUnder("x") == "x@7");
@@ -253,22 +256,22 @@
 {
     struct Case {
         std::string name;
-        std::function<void(Guards&)> takeOut;
+        std::function<void(Guards&)> disable;
     };
     const std::vector<Case> cases {
-        { "wait for the hold", [](Guards& guards) { guards.waitForHold = false; } },
-        { "write first", [](Guards& guards) { guards.writeFirst = false; } },
-        { "the office ends", [](Guards& guards) { guards.officeEnds = false; } },
-        { "wait for the former", [](Guards& guards) { guards.waitForFormer = false; } },
+        { "wait for the hold", [](Guards& guards) { guards.waitForLeaseExpiry = false; } },
+        { "write first", [](Guards& guards) { guards.writeBeforeOrders = false; } },
+        { "the office ends", [](Guards& guards) { guards.requireMajorityWithoutStore = false; } },
+        { "wait for the former", [](Guards& guards) { guards.waitForPreviousCoordinator = false; } },
         { "wait for what is unanswered", [](Guards& guards) { guards.waitForUnanswered = false; } },
     };
     for (const auto& one : cases) {
         Guards guards;
-        one.takeOut(guards);
+        one.disable(guards);
         Total total;
-        explore(historiesWanted(400), guards, total);
-        MESSAGE("without \"" << one.name << "\": " << total.bad.load() << " histories with two holders, first seed "
-                             << total.firstBad.load());
-        CHECK(total.bad.load() > 0);
+        runHistories(historyCount(400), guards, total);
+        MESSAGE("without \"" << one.name << "\": " << total.twoHolders.load()
+                             << " histories with two holders, first seed " << total.firstTwoHoldersSeed.load());
+        CHECK(total.twoHolders.load() > 0);
     }
 }
--- a/tests/grant_table_test.cpp
+++ b/tests/grant_table_test.cpp
@@ -15,11 +15,11 @@
     table.edition = { 7, edition };
     table.highestFence = 99;
     uint32_t first = 0;
-    while (first < numberedKeys) {
+    while (first < keySpaceSize) {
         KeyRange range;
         range.first = first;
         const auto size = static_cast<uint32_t>(*rc::gen::inRange(1, 30'000));
-        range.last = std::min(numberedKeys - 1, first + size - 1);
+        range.last = std::min(keySpaceSize - 1, first + size - 1);
         range.holder = *rc::gen::element<std::string>("a", "b", "c");
         range.fence = static_cast<uint64_t>(*rc::gen::inRange(1, 5));
         if (*rc::gen::inRange(0, 3) == 0) {
--- a/tests/load_decisions_test.cpp
+++ b/tests/load_decisions_test.cpp
@@ -1,6 +1,6 @@
 // Decisions under load: who gets a slot, how hosts share a server, where keys lie, which server gets a request.
 #include "decisions/KeyBalance.h"
-#include "decisions/OfficeRules.h"
+#include "decisions/LeadershipRules.h"
 #include "decisions/ServerChoice.h"
 #include "decisions/SlotShares.h"
 #include "decisions/ValueQueue.h"
@@ -356,11 +356,11 @@
 std::vector<KeyRange> evenRanges(size_t servers)
 {
     std::vector<KeyRange> ranges;
-    const auto size = static_cast<uint32_t>(numberedKeys / servers);
+    const auto size = static_cast<uint32_t>(keySpaceSize / servers);
     for (size_t i = 0; i < servers; ++i) {
         KeyRange range;
         range.first = static_cast<uint32_t>(i) * size;
-        range.last = i + 1 == servers ? numberedKeys - 1 : range.first + size - 1;
+        range.last = i + 1 == servers ? keySpaceSize - 1 : range.first + size - 1;
         range.holder = "server-" + std::to_string(i);
         ranges.push_back(range);
     }
@@ -421,7 +421,7 @@
     auto ranges = evenRanges(servers);
     KeyLoad load;
     std::mt19937 random(7);
-    std::uniform_int_distribution<uint32_t> anyKey(0, numberedKeys - 1);
+    std::uniform_int_distribution<uint32_t> anyKey(0, keySpaceSize - 1);
     std::uniform_int_distribution<uint32_t> hotKey(30'000, 30'199);
     for (int i = 0; i < 4'000; ++i)
         load.add(i % 2 ? hotKey(random) : anyKey(random), 10);
@@ -446,7 +446,7 @@
     auto ranges = evenRanges(servers);
     KeyLoad load;
     load.add(100, 9'000);
-    for (uint32_t key = 0; key < numberedKeys; key += 64)
+    for (uint32_t key = 0; key < keySpaceSize; key += 64)
         load.add(key, 4);
     load.index();
     for (int round = 0; round < 10; ++round) {
@@ -474,7 +474,7 @@
     KeyLoad load;
     constexpr uint32_t hot = 100; // at server-0, the slowest
     load.add(hot, 100 * options.requestMillis);
-    for (uint32_t key = 0; key < numberedKeys; key += 64)
+    for (uint32_t key = 0; key < keySpaceSize; key += 64)
         load.add(key, 200.0 * options.requestMillis / 1024);
     load.index();
     const auto holderOfHot = [&] {
@@ -515,7 +515,7 @@
     const auto ranges = evenRanges(servers);
     KeyLoad load;
     std::mt19937 random(3);
-    std::uniform_int_distribution<uint32_t> anyKey(0, numberedKeys - 1);
+    std::uniform_int_distribution<uint32_t> anyKey(0, keySpaceSize - 1);
     // 60 requests a second of 100 ms each, remembered for 3 s.
     for (int i = 0; i < 180; ++i)
         load.add(anyKey(random), 100.0 / 3);
@@ -545,23 +545,23 @@
 
 TEST_CASE("without the store's word half of the hosts decide who goes on")
 {
-    OfficeRules former({});
-    OfficeRules next({});
+    LeadershipRules former({});
+    LeadershipRules next({});
     for (auto* rules : { &former, &next })
-        rules->setListed({ "a", "b", "c", "d", "e" });
+        rules->setListedHosts({ "a", "b", "c", "d", "e" });
     const Instant confirmed = begin;
     CHECK(former.mayAct(confirmed, begin + Millis(1'400)));
     const Instant now = begin + Millis(3'000);
     CHECK_FALSE(former.mayAct(confirmed, now));
     for (const auto* host : { "a", "b", "c" })
-        former.reported(host, now);
+        former.onReport(host, now);
     CHECK(former.mayAct(confirmed, now));
     CHECK_FALSE(former.mayAct(confirmed, begin + Millis(12'100)));
-    next.reported("d", now);
-    next.reported("x", now); // not listed: its word counts for nothing
-    CHECK_FALSE(next.formerIsAlone());
-    next.reported("e", now);
-    next.reported("a", now);
-    CHECK(next.formerIsAlone());
-    CHECK_FALSE(former.mayAct(confirmed, next.formerEnd(now)));
+    next.onReport("d", now);
+    next.onReport("x", now); // not listed: its word counts for nothing
+    CHECK_FALSE(next.previousLostMajority());
+    next.onReport("e", now);
+    next.onReport("a", now);
+    CHECK(next.previousLostMajority());
+    CHECK_FALSE(former.mayAct(confirmed, next.previousStoppedBy(now)));
 }
