--- a/packages/decisions/GrantPlan.cpp
+++ b/packages/decisions/GrantPlan.cpp
@@ -8,8 +8,6 @@
 
 namespace cumindale {
 
-// Sections: beginning, answers, planning, orders, looking.
-
 std::string_view nameOf(OrderResult result)
 {
     switch (result) {
@@ -31,7 +29,7 @@
 
 const RegisteredServer* registeredIncarnation(const GrantPlan::Servers& servers, std::string_view name)
 {
-    const auto found = servers.lower_bound(serverId(name, 0)); // ids sort by name, then start
+    const auto found = servers.lower_bound(serverId(name, 0)); // ids sort by name, then by start time
     return found != servers.end() && serverNameOf(found->first) == name ? &found->second : nullptr;
 }
 
@@ -42,7 +40,7 @@
 {
 }
 
-// --- Beginning
+// --- Start
 
 void GrantPlan::takeOver(const GrantTable& table, Instant now)
 {
@@ -54,10 +52,10 @@
         state.range.fence = ++m_highestFence;
         if (state.range.moving()) {
             state.range.nextFence = ++m_highestFence;
-            // The former coordinator renews nothing that it has announced as moving; what it sent before may still
-            // hold.
+            // The previous coordinator doesn't renew a range at its holder once the move is announced, but an earlier
+            // grant may still be valid.
             state.inheritedLeaseUntil = leaseExpiry(now + m_timing.orderTimeout);
-            // It may have granted the range to the next server already, and renew it there.
+            // The previous coordinator may have granted the range to the next server, and may still renew it there.
             state.nextMayHold = true;
             state.nextInheritedLeaseUntil = leaseExpiry(now + m_timing.maxRenewalWithoutStore + m_timing.orderTimeout);
         } else {
@@ -110,10 +108,10 @@
     ServerContact& contact = m_contacts[server];
     const bool missed = result == OrderResult::Unanswered || result == OrderResult::NotSent;
     if (result == OrderResult::OtherServer) {
-        contact.unresponsive = true; // it has ended
+        contact.unresponsive = true; // the server has ended
     } else if (missed) {
         if (contact.lastAnswer == Instant {})
-            contact.lastAnswer = endedAt; // counted from the first order
+            contact.lastAnswer = endedAt; // counts from the first order
         ++contact.missedAnswers;
         const Millis timeout
             = isServing(server, endedAt) ? m_timing.unresponsiveAfterWhileServing : m_timing.unresponsiveAfter;
@@ -139,7 +137,7 @@
 {
     RangeState* state = find(answer.range);
     if (!state || state->outstanding != answer.number)
-        return; // an order that was given up: its effects were counted when it was
+        return; // the order was abandoned, and its possible effects were recorded then
     state->outstanding = 0;
     recordAnswer(state->outstandingServer, answer.result, answer.endedAt);
     if (answer.result == OrderResult::HigherFence) {
@@ -164,7 +162,7 @@
         return;
     if (!toNext) {
         state.confirmed = true;
-        state.inheritedLeaseUntil = {}; // its holder has seen a higher fence than any of a former coordinator
+        state.inheritedLeaseUntil = {}; // the holder now refuses the lower fences of previous coordinators
         state.confirmedLeaseUntil = std::max(state.confirmedLeaseUntil, leaseExpiry(answer.endedAt));
         state.handover.clear();
         return;
@@ -181,7 +179,7 @@
     state.handover.clear();
     state.confirmedLeaseUntil = leaseExpiry(answer.endedAt);
     state.unansweredLeaseUntil = unanswered;
-    state.inheritedLeaseUntil = {}; // its holder has seen a higher fence than any of a former coordinator
+    state.inheritedLeaseUntil = {}; // the holder now refuses the lower fences of previous coordinators
     state.nextUnansweredLeaseUntil = {};
     state.nextInheritedLeaseUntil = {};
     markChanged(state, Urgency::Lazy);
@@ -196,12 +194,13 @@
         state.handover = answer.handover;
         state.released = true;
         state.confirmedLeaseUntil = {};
-        // A former coordinator's orders carry lower fences than this release: the server refuses them from now on.
+        // The server now refuses orders of previous coordinators: their fences are lower than that of this release.
         state.inheritedLeaseUntil = {};
-        // An own grant without an answer may still be carried out after the release, with the same fence.
+        // An unanswered grant of this coordinator has the same fence and may still be carried out after the release.
         state.freedByHolder = state.unansweredLeaseUntil <= answer.endedAt;
     } else if (answer.result == OrderResult::OtherServer) {
-        state.freedByHolder = true; // its address was given away: it has ended, and its grants with it
+        // The address belongs to another server: the holder has ended, and its leases with it.
+        state.freedByHolder = true;
     }
 }
 
@@ -225,20 +224,20 @@
 
 std::optional<uint64_t> GrantPlan::fenceToSend(const GrantOrder& order, bool newConnection)
 {
-    // Whoever answers behind a new connection may be a later incarnation. That goes for all ranges of the server, also
-    // where their next grants find this connection made already.
+    // A new connection may lead to a later incarnation. This applies to all ranges of the server, including those whose
+    // next grants are sent once the connection exists.
     uint64_t& connections = m_contacts[order.server].connections;
     connections += newConnection;
     if (order.kind == GrantOrder::Kind::Release)
         return order.fence;
     RangeState* state = find(order.range);
     if (!state || state->outstanding != order.number)
-        return std::nullopt; // given up meanwhile
+        return std::nullopt; // the order was abandoned in the meantime
     const bool toNext = state->range.moving() && state->outstandingServer == state->range.next;
     uint64_t& fence = toNext ? state->range.nextFence : state->range.fence;
     SentFence& sent = toNext ? state->nextSent : state->sent;
     if (sent.fence == fence && sent.connection != connections) {
-        // A holder that is to let go gets no fence above the one that its successor was promised.
+        // A holder that must release the range gets no fence above the one announced for the next server.
         const bool releasing = state->range.moving() && !toNext;
         if (releasing || m_highestFence >= m_writtenFenceLimit)
             return std::nullopt;
@@ -291,7 +290,7 @@
     return later && later->id != server && usable(servers, later->id) ? later->id : std::string();
 }
 
-// A server that is warming up only if no other is there: it would get its keys' requests at once.
+// Chooses a server that is warming up only if there is no other, since it would get all requests for the keys at once.
 std::string GrantPlan::bestTarget(const Servers& servers, const std::string& except, Instant now) const
 {
     std::map<std::string_view, uint32_t> keys;
@@ -329,13 +328,13 @@
 
 void GrantPlan::moveAway(RangeState& state, const Servers& servers, std::string why, Instant now)
 {
-    // A holder that has started again gets its keys back: no others move, and what a former coordinator may still send
-    // to it is refused there.
+    // A holder that has restarted gets its keys back. No other keys need to move, and the server refuses what a
+    // previous coordinator may still send to it.
     std::string target = laterIncarnationOf(servers, state.range.holder);
     if (target.empty() || isAvoided(servers.at(target), now))
         target = bestTarget(servers, state.range.holder, now);
     if (target.empty())
-        return; // nobody to take it; asked again at the next look
+        return; // no server can take the range; maintain() tries again
     state.freedByHolder = false;
     state.released = false;
     state.handover.clear();
@@ -355,7 +354,7 @@
     if (usableServers.empty())
         return;
     m_ranges.clear();
-    // Several small parts for each, dealt in turn: a stretch of busy keys then lies on several servers at once.
+    // Each server gets several small ranges, assigned in turn, so that adjacent busy keys lie on several servers.
     const auto affordable = static_cast<unsigned>(m_timing.maxInitialRanges / usableServers.size());
     const unsigned parts = std::clamp(affordable, 1U, m_timing.initialRangesPerServer);
     const uint64_t units = uint64_t(slots) * parts;
@@ -371,7 +370,7 @@
             state.id = m_nextId++;
             state.range = { first, end - 1, server->id, ++m_highestFence };
             markChanged(state, Urgency::Announcement);
-            recordEvent(state, "first-owner", {});
+            recordEvent(state, "initial-owner", {});
             m_ranges.push_back(std::move(state));
             first = end;
         }
@@ -383,7 +382,7 @@
     HolderState holderState = state.range.holderState;
     const auto next = m_contacts.find(state.range.next);
     if (state.freedByHolder || state.released) {
-        // What had to be waited for so far may take longer still: hosts don't keep their callers waiting for it.
+        // A move that has already been delayed may take longer still: hosts must not keep callers waiting for it.
         const bool nextMisses = next != m_contacts.end() && next->second.missedAnswers;
         holderState = holderState == HolderState::Releasing && !nextMisses ? holderState : HolderState::Lost;
     } else if (isUnresponsive(state.range.holder)) {
@@ -392,7 +391,7 @@
     if (holderState == state.range.holderState)
         return;
     state.range.holderState = holderState;
-    ++m_edition; // hosts are told; the announcement of the move stands, and its orders needn't wait for a write
+    ++m_edition; // publishes the state to hosts; the move is already announced, so its orders needn't wait for a write
 }
 
 void GrantPlan::updateMove(RangeState& state, const Servers& servers, Instant now)
@@ -400,15 +399,16 @@
     updateHolderState(state, now);
     if (usable(servers, state.range.next) || state.outstanding)
         return;
-    // A former coordinator may have granted it to the next server, or not yet: both count until the holder surely holds
-    // nothing. Only then does the next server take the holder's place below.
+    // A previous coordinator may or may not have granted the range to the next server, so both servers count as
+    // possible holders. Only when the leases of the present holder have ended does the next server take its place
+    // below.
     if (state.nextMayHold && !state.freedByHolder)
         return;
     const std::string target = bestTarget(servers, state.range.next, now);
     if (target.empty())
         return;
     if (state.nextMayHold) {
-        // It may have been granted the range: from now on it counts as the holder that must let go.
+        // The next server may have been granted the range, so it becomes the holder that must release it.
         state.range.holder = state.range.next;
         state.range.fence = state.range.nextFence;
         state.sent = state.nextSent;
@@ -425,7 +425,7 @@
 std::string GrantPlan::reasonToMove(
     const Servers& servers, const KeyRange& range, bool isolated, bool anyWarmedUp, Instant now) const
 {
-    // What is left of a warm-up when a move would have ended is soon over, and the move itself is a pause.
+    // A move pauses the keys, so it isn't worthwhile if the warm-up ends this soon.
     constexpr Millis minRemainingWarmUp { 600 };
     const auto holder = servers.find(range.holder);
     if (holder == servers.end())
@@ -498,7 +498,7 @@
     if (found == m_ranges.end() || found->range.moving() || found->outstanding || !found->confirmed
         || !announced(*found) || found->range.holder == to)
         return false;
-    // The parts keep the holder, the fence and what is known of the grant; only the middle one moves.
+    // All parts keep the holder, the fence and the state of the grant; only the middle part moves.
     const RangeState whole = *found;
     std::vector<RangeState> parts;
     const auto addPart = [&](uint32_t from, uint32_t until) {
@@ -569,14 +569,14 @@
 std::optional<GrantOrder> GrantPlan::moveOrder(RangeState& state, Instant now)
 {
     if (state.outstanding && state.outstandingKind == GrantOrder::Kind::Grant)
-        return std::nullopt; // its effects are not known yet
+        return std::nullopt; // the effect of the grant is not known yet
     const bool retriedRecently
         = now - state.orderedAt < m_timing.retryInterval && state.outstandingServer == state.range.holder;
     if (!state.freedByHolder && now >= holderExpiry(state)) {
         state.freedByHolder = true;
         if (state.outstandingKind == GrantOrder::Kind::Release)
-            state.outstanding = 0; // the release is given up: what it would end has run out
-        recordEvent(state, "hold-ended", "without an answer from the owner");
+            state.outstanding = 0; // abandons the release: the leases that it would end have expired
+        recordEvent(state, "leases-expired", "without an answer from the owner");
     }
     if (state.outstanding)
         return std::nullopt;
@@ -602,8 +602,8 @@
             if (announced(state))
                 order = moveOrder(state, now);
         } else if (announced(state) || state.confirmed) {
-            // A range that has just moved is renewed before its table is written: the move was announced, and with
-            // the store away the new owner must not lose it.
+            // A range that has just moved is renewed before its table is written. The move was announced, and the new
+            // owner must not lose the range while the store is unavailable.
             order = renewalOrder(state, now);
         }
         if (order)
@@ -636,14 +636,14 @@
         m_writtenFenceLimit = m_fenceLimit;
 }
 
-// --- Looking
+// --- Inspection
 
 std::vector<GrantEvent> GrantPlan::takeEvents() { return std::exchange(m_events, {}); }
 
 bool GrantPlan::mostAreUnresponsive() const
 {
     if (std::none_of(m_contacts.begin(), m_contacts.end(), [](const auto& entry) { return entry.second.unresponsive; }))
-        return false; // as a rule; counting some thousand holders at each look costs more
+        return false; // the usual case; avoids counting thousands of holders on each call
     std::set<std::string_view> holders;
     for (const auto& state : m_ranges)
         holders.insert(state.range.holder);
--- a/packages/decisions/GrantTable.cpp
+++ b/packages/decisions/GrantTable.cpp
@@ -33,8 +33,8 @@
     result.ranges.reserve(table.ranges.size() + change.ranges.size());
     auto news = change.ranges.begin();
     for (const auto& range : table.ranges) {
-        // The spans of a change begin and end where ranges of one of the two editions do, so what is left of an old
-        // range is a range of the later edition as well: it lies wholly inside or outside of each span.
+        // Whatever part of an old range the change doesn't replace is a range of the later edition too. Each old range
+        // therefore lies entirely inside or entirely outside the ranges of the change.
         while (news != change.ranges.end() && news->first <= range.first)
             result.ranges.push_back(*news++);
         const bool replaced = !result.ranges.empty() && result.ranges.back().last >= range.last;
--- a/packages/decisions/GrantTable.h
+++ b/packages/decisions/GrantTable.h
@@ -1,7 +1,8 @@
-// Who holds which keys of a service whose servers enforce what they were granted.
+// The table of which server holds which keys, for a service whose servers enforce their grants.
 //
-// The keys are numbers from 0 to 65535. The table cuts them into ranges without gaps. One coordinator writes it to
-// the store before it acts on it; hosts route by it. It is a hint for hosts: the grant at the server decides.
+// Keys are numbers from 0 to 65535, and the table divides them into ranges without gaps. The coordinator writes a table
+// to the store before it sends any order that depends on it. Hosts route requests by the table, but it is only a hint:
+// the grant at the server decides whether a request is served.
 #pragma once
 
 #include <cstdint>
@@ -12,30 +13,30 @@
 
 constexpr uint32_t keySpaceSize = 65'536;
 
-// What the holder of a moving range does.
+// The state of a moving range's holder.
 enum class HolderState : uint8_t {
-    Releasing, // it is asked to, or has: a matter of milliseconds
-    Lost, // it answers nobody: its hold must run out
-    Unreachable, // it answers hosts but not the coordinator: it serves until its hold runs out, and then refuses
+    Releasing, // the holder is releasing the range or has released it, which takes milliseconds
+    Lost, // the holder answers neither hosts nor the coordinator: its lease must expire
+    Unreachable, // the holder answers hosts but not the coordinator: it serves until its lease expires, then refuses
 };
 
 struct KeyRange {
     uint32_t first = 0;
-    uint32_t last = keySpaceSize - 1; // included
-    std::string holder; // server id; empty: nobody yet
-    uint64_t fence = 0; // of the holder's grant
-    std::string next; // server id to which it moves; empty: it stays
+    uint32_t last = keySpaceSize - 1; // inclusive
+    std::string holder; // server id; empty: no holder yet
+    uint64_t fence = 0; // fencing token of the holder's grant
+    std::string next; // id of the server that the range moves to; empty: not moving
     uint64_t nextFence = 0;
-    HolderState holderState = HolderState::Releasing; // of a moving range
+    HolderState holderState = HolderState::Releasing; // only for a moving range
 
     bool operator==(const KeyRange&) const = default;
     bool moving() const { return !next.empty(); }
     uint32_t size() const { return last - first + 1; }
 };
 
-// Later terms are newer; within a term a higher edition is.
+// Ordered by term, then by edition within a term.
 struct TableEdition {
-    int64_t term = 0; // of the coordinator that made it
+    int64_t term = 0; // of the coordinator that made the table
     uint64_t edition = 0;
 
     bool operator==(const TableEdition& other) const { return term == other.term && edition == other.edition; }
@@ -48,22 +49,22 @@
 struct GrantTable {
     std::string service;
     TableEdition edition;
-    std::string coordinator; // host that made it
-    uint64_t highestFence = 0; // no grant ever carried a higher one
-    std::vector<KeyRange> ranges; // ascending, without gaps
+    std::string coordinator; // host that made the table
+    uint64_t highestFence = 0; // no grant has carried a higher fence
+    std::vector<KeyRange> ranges; // in ascending order of keys, without gaps
 
-    const KeyRange* find(uint32_t key) const; // null only in an empty table
+    const KeyRange* find(uint32_t key) const; // null only if the table is empty
 };
 
-// What differs between two editions of a table: the ranges of the later one that the earlier one doesn't have.
+// The difference between two editions of a table: the ranges of the later one that the earlier one doesn't have.
 struct GrantTableChange {
     std::string service;
     TableEdition from;
     TableEdition to;
-    std::vector<KeyRange> ranges; // ascending; each replaces whatever lies in its span
+    std::vector<KeyRange> ranges; // in ascending order; each replaces the ranges that lie within its keys
 };
 
 GrantTableChange changeBetween(const GrantTable& earlier, const GrantTable& later);
-GrantTable applyChange(const GrantTable&, const GrantTableChange&); // of the edition that the change is from
+GrantTable applyChange(const GrantTable&, const GrantTableChange&); // the table must be of the edition `from`
 
 }
--- a/packages/decisions/LeadershipRules.h
+++ b/packages/decisions/LeadershipRules.h
@@ -1,14 +1,15 @@
-// How long a coordinator may go on without the store, and when a new one may count on that the former has stopped.
+// Decides how long a coordinator may act without the store, and when a new coordinator can rely on the previous one
+// having stopped.
 //
-// The store may be away for all hosts: then the coordinator must go on renewing, or every key is lost after one hold.
-// It may also be away for the coordinator alone: then another host is elected, and the former must stop. Both hosts
-// judge by the same list of hosts, which the coordinator writes to the store. Each host reports to one coordinator
-// only, the newest that it knows of. So:
+// If the store is unavailable to all hosts, the coordinator must go on renewing grants, or every server loses its keys
+// after one lease. If the store is unavailable to the coordinator alone, another host is elected and the previous
+// coordinator must stop. Both use the same list of hosts, which the coordinator writes to the store, and each host
+// reports to only one coordinator, the newest that it knows of. Hence these rules:
 //
-// - Without the store's word, a coordinator goes on only while more than half of the listed hosts have reported to it
-//   within `freshness` (and never longer than `longest`).
-// - Once half of the listed hosts have reported to a new coordinator, the former one can't have more than half: it
-//   stops within `freshness` and the time that a report may have been under way.
+// - Without confirmation by the store, a coordinator acts only while more than half of the listed hosts have reported
+//   to it within `reportLifetime`, and never longer than `maxWithoutStore`.
+// - Once half of the listed hosts have reported to a new coordinator, the previous one can't have a majority. It stops
+//   within `reportLifetime` plus the time that a report may take to arrive.
 #pragma once
 
 #include "base/Time.h"
@@ -21,10 +22,10 @@
 namespace cumindale {
 
 struct LeadershipTiming {
-    Millis lease { 1'500 }; // of the office in the store
-    Millis reportLifetime { 1'200 }; // of a host's report; a few report intervals
-    Millis reportTimeout { 400 }; // a report arrives within it or never
-    Millis maxWithoutStore { 12'000 }; // without the store; longer than the outages that hosts see
+    Millis lease { 1'500 }; // of the leadership in the store
+    Millis reportLifetime { 1'200 }; // validity of a host's report: a few report intervals
+    Millis reportTimeout { 400 }; // a report arrives within this time or never
+    Millis maxWithoutStore { 12'000 }; // longer than the store outages that hosts see
 };
 
 class LeadershipRules {
@@ -34,23 +35,22 @@
     {
     }
 
-    void setListedHosts(std::set<std::string, std::less<>> hosts)
-    {
-        m_listedHosts = std::move(hosts);
-    } // as in the store
+    // The list in the store.
+    void setListedHosts(std::set<std::string, std::less<>> hosts) { m_listedHosts = std::move(hosts); }
     const std::set<std::string, std::less<>>& listedHosts() const { return m_listedHosts; }
     void onReport(std::string_view host, Instant now);
 
-    // `confirmed`: when the store was asked that last said that the office is this host's.
+    // `confirmed`: when the last request was sent to which the store answered that this host is the coordinator.
     bool mayAct(Instant confirmed, Instant now) const;
-    // Whether enough hosts report here that a former coordinator must stop, and when it has, at the latest.
+    // Whether so many hosts report to this one that a previous coordinator has no majority and must stop.
     bool previousLostMajority() const;
+    // When a previous coordinator that has just lost its majority has stopped at the latest.
     Instant previousStoppedBy(Instant now) const { return now + m_timing.reportLifetime + m_timing.reportTimeout; }
 
 private:
     LeadershipTiming m_timing;
     std::set<std::string, std::less<>> m_listedHosts;
-    std::map<std::string, Instant, std::less<>> m_reports; // of listed hosts in this term
+    std::map<std::string, Instant, std::less<>> m_reports; // time of the last report of each listed host in this term
 };
 
 }
--- a/tests/grant_model.cpp
+++ b/tests/grant_model.cpp
@@ -15,13 +15,13 @@
 namespace {
 
     constexpr Millis stepDuration { 10 };
-    constexpr Millis faultsUntil { 40'000 }; // faults come until then
+    constexpr Millis faultsUntil { 40'000 }; // no faults after this time
     constexpr Millis duration { 70'000 };
-    constexpr Millis recoveredFrom { 62'000 }; // everything must be served again
-    constexpr size_t sampleCount = 12; // keys that are looked at
+    constexpr Millis recoveredFrom { 62'000 }; // every key must be held again
+    constexpr size_t sampleCount = 12; // keys that are checked
     constexpr size_t hostCount = 4;
     constexpr size_t serverCount = 5;
-    constexpr Millis registrationLag { 2'000 }; // an entry outlasts its server by some heartbeats
+    constexpr Millis registrationLag { 2'000 }; // an entry stays for some heartbeats after its server has crashed
     const std::string service = "s";
 
     uint32_t sampleKey(size_t index) { return static_cast<uint32_t>(index * (keySpaceSize / sampleCount) + 77); }
@@ -29,7 +29,7 @@
     struct HeldKey {
         uint64_t seenFence = 0;
         uint64_t grantedFence = 0;
-        uint64_t previousIncarnationFence = 0; // highest with which former incarnations had the key
+        uint64_t previousIncarnationFence = 0; // highest fence with which previous incarnations had the key
         Instant leaseUntil {};
     };
 
@@ -37,14 +37,14 @@
         std::string name;
         int64_t incarnation = 0;
         std::string id; // of the present incarnation
-        std::string registered; // id that the store shows; empty: none
+        std::string registered; // id that the store shows; empty: not registered
         bool up = true;
-        bool unreachable = false; // from all hosts
+        bool unreachable = false; // for all hosts
         std::array<bool, hostCount> unreachableFrom {};
-        double clock = 1; // a hold lasts so many times as long
+        double clock = 1; // factor by which the server lengthens a lease
         Instant restartAt {};
         std::array<HeldKey, sampleCount> heldKeys;
-        Instant registersAt {}; // a new incarnation is known to the store a little later, behind a cut much later
+        Instant registersAt {}; // the store shows a new incarnation shortly after its start, or seconds later
     };
 
     struct Leadership {
@@ -55,7 +55,7 @@
 
     struct Store {
         bool down = false;
-        bool leasesExpireWhileDown = true; // while it is down
+        bool leasesExpireWhileDown = true; // or the leases pause while the store is down
         Leadership leadership;
         int64_t revision = 1;
         std::optional<GrantTable> table;
@@ -63,7 +63,7 @@
         std::set<std::string, std::less<>> listedHosts;
     };
 
-    // An order on its way, or the late execution of one.
+    // An order or answer in transit, or the late execution of an order.
     struct Message {
         Instant at {};
         size_t host = 0;
@@ -72,8 +72,8 @@
         GrantOrder order;
         Instant sent {};
         Instant arrived {};
-        int64_t connectedTo = 0; // the incarnation at the other end of the connection; 0: a new connection
-        bool answered = true; // the answer will reach the host
+        int64_t connectedTo = 0; // server incarnation at the other end of the connection; 0: a new connection
+        bool answered = true; // whether the answer reaches the host
         bool isAnswer = false;
         OrderAnswer answer;
         int64_t answeredBy = 0;
@@ -86,9 +86,9 @@
         Instant restartAt {};
         int64_t incarnation = 1;
         bool storeUnreachable = false;
-        int64_t knownTerm = 0; // newest coordinator that it knows of
+        int64_t knownTerm = 0; // of the newest coordinator that the host knows of
         int knownHost = -1;
-        // As coordinator
+        // State as coordinator
         int64_t term = 0;
         Instant lastConfirmed {};
         Instant nextRenewal {};
@@ -98,7 +98,7 @@
         std::unique_ptr<LeadershipRules> rules;
         std::string previousCoordinator;
         int64_t tableRevision = 0;
-        std::array<int64_t, serverCount> connectedTo {}; // born of the incarnation; 0: no connection
+        std::array<int64_t, serverCount> connectedTo {}; // incarnation of each server; 0: no connection
     };
 
     class Simulation {
@@ -120,7 +120,7 @@
             }
             if (!guards.waitForPreviousCoordinator)
                 m_timing.maxRenewalWithoutStore = Millis(0);
-            // Every other history has hosts that lose the store or single servers again and again.
+            // In every other history, hosts lose the store or single servers often.
             m_partitionRate = seed % 2 ? 6 : 1;
         }
 
@@ -247,14 +247,14 @@
         {
             if (server.up && m_now >= server.registersAt)
                 server.registered = server.id;
-            // An entry outlasts its server by some heartbeats where the server comes back under its name.
+            // If the server comes back under its name, its entry stays for some heartbeats after the crash.
             else if (!server.up && (m_restart == Restart::NewName || m_now >= server.restartAt - registrationLag))
                 server.registered.clear();
         }
 
         bool reachesStore(const Host& host) const { return !m_store.down && !host.storeUnreachable; }
 
-        // The server at the address of the one that an order is for: whichever incarnation of it is up.
+        // The server at the address that an order for this id goes to, whichever incarnation is running there.
         Server* find(const std::string& id)
         {
             const auto name = serverNameOf(id);
@@ -282,7 +282,7 @@
             const Millis timeout = grant ? m_timing.orderTimeout : Millis(3'000);
             Message message { m_now + between(1, 8), host, m_hosts[host].incarnation, m_hosts[host].term, order };
             message.sent = m_now;
-            // The end of a process ends its connections; a host that can reach its machine sees that.
+            // The end of a server process closes its connections, and a host that can reach the machine sees that.
             const Server* server = find(order.server);
             int64_t none = 0;
             int64_t& connection = server ? connectionTo(message) : none;
@@ -299,11 +299,11 @@
             }
             const double roll = m_lossyNetwork ? chance() : 1;
             if (roll < 0.15) {
-                answerLater(message, OrderResult::Unanswered, m_now + timeout); // lost on its way
+                answerLater(message, OrderResult::Unanswered, m_now + timeout); // the order is lost
                 return;
             }
             message.arrived = message.at;
-            if (roll < 0.35) { // carried out late, its time counts from the arrival; no answer
+            if (roll < 0.35) { // carried out late and not answered; the lease counts from the arrival
                 answerLater(message, OrderResult::Unanswered, m_now + timeout);
                 message.at += between(2'000, 12'000);
                 message.answered = false;
@@ -360,8 +360,8 @@
             Server* server = find(message.order.server);
             const bool late = !message.answered && message.at > message.arrived;
             const bool reached = server && reaches(message.host, *server);
-            // Bytes of a connection to a former incarnation mean nothing to the present one. Of a server's late work
-            // nothing outlasts it, either.
+            // An order on a connection to a previous incarnation never reaches the present one, and late executions end
+            // with the incarnation that they belong to.
             const bool ended = server && message.connectedTo && message.connectedTo != server->incarnation;
             if ((!reached && !late) || ended) {
                 if (message.answered)
@@ -400,7 +400,7 @@
             }
             const auto time = static_cast<int64_t>(static_cast<double>(order.leaseDuration.count()) * server.clock);
             for (auto* heldKey : affected) {
-                // A grant that was held up tells nothing: it was sent when the former incarnation had the key.
+                // A delayed grant isn't counted: it was sent while the previous incarnation had the key.
                 m_outcome.staleFences += order.fence <= heldKey->previousIncarnationFence
                     && message.at - message.sent < Millis(10) && m_hosts[message.host].term == m_store.leadership.term;
                 heldKey->seenFence = order.fence;
@@ -435,7 +435,7 @@
                 coordinate(index);
         }
 
-        // From here on nothing moves by plan: a planned move leaves its keys without a holder for some 20 ms.
+        // No planned moves from here on, since each leaves its keys without a holder for about 20 ms.
         bool movesStopped() const { return m_now >= Instant(recoveredFrom - Millis(4'000)); }
 
         bool mayAct(const Host& host) const
@@ -561,14 +561,14 @@
             for (const auto& other : m_hosts)
                 m_store.listedHosts.insert(other.name);
             if (m_lossyNetwork && chance() < 0.3) {
-                host.nextWrite = m_now + Millis(1'000); // the answer is lost: read back a second later
+                host.nextWrite = m_now + Millis(1'000); // the answer is lost: the host retries a second later
                 return;
             }
             host.rules->setListedHosts(m_store.listedHosts);
             host.plan->onWritten(table.edition.edition, m_now);
         }
 
-        // --- What must hold
+        // --- Invariants
 
         void checkHolders()
         {
@@ -595,7 +595,7 @@
         std::vector<Message> m_messages;
         size_t m_incarnations = 0;
         double m_partitionRate = 1;
-        bool m_lossyNetwork = false; // messages go astray
+        bool m_lossyNetwork = false; // messages and answers are lost or delayed
         size_t m_samplesChecked = 0;
         size_t m_samplesHeld = 0;
         Outcome m_outcome;
--- a/tests/grant_model.h
+++ b/tests/grant_model.h
@@ -1,9 +1,10 @@
-// A small world for GrantPlan and LeadershipRules: hosts that may coordinate, a store, servers that enforce grants.
+// Simulates GrantPlan and LeadershipRules with hosts that may become coordinator, a store, and servers that enforce
+// grants.
 //
-// Faults come at random from a seed: hosts are paused, killed and cut off from the store, from each other and from
-// servers; servers crash, are cut off and start again under their names, at once or later, seen by hosts or not; the
-// store is down, with leases that lapse or pause; its answers are lost; orders are lost, answered late or never, or
-// carried out seconds after they arrived.
+// A seed determines random faults. Hosts pause, crash and lose their connections to the store, to each other and to
+// servers. Servers crash, become unreachable and restart under their names, at once or later, noticed by hosts or not.
+// The store goes down, with leases that expire or pause meanwhile, and its answers are lost. Orders are lost, answered
+// late or never, or carried out seconds after their arrival.
 #pragma once
 
 #include "decisions/GrantPlan.h"
@@ -14,31 +15,32 @@
 
 namespace grants {
 
-// Each taken out must lead to two holders at once in some history.
+// Safety rules that a test can disable. Without any one of them, some history must break what the rule ensures.
 struct Guards {
-    bool waitForLeaseExpiry = true; // a server that can't be asked keeps its keys for a hold
-    bool writeBeforeOrders = true; // the table is in the store before it is acted on
-    bool requireMajorityWithoutStore = true; // without the store's word a coordinator needs half of the hosts
-    bool waitForPreviousCoordinator = true; // a new coordinator waits for a former one at servers that it can't reach
-    bool waitForUnanswered = true; // an order without an answer may be carried out late
-    bool newFenceOnNewConnection = true; // behind it another incarnation of the server may answer
+    bool waitForLeaseExpiry = true; // a server that can't be reached keeps its keys until its lease has expired
+    bool writeBeforeOrders = true; // the table is in the store before orders that depend on it are sent
+    bool requireMajorityWithoutStore = true; // without the store, a coordinator needs the reports of most hosts
+    // For servers out of its reach, a new coordinator waits as long as the previous one may go on renewing.
+    bool waitForPreviousCoordinator = true;
+    bool waitForUnanswered = true; // an order without an answer counts as one that may be carried out late
+    bool newFenceOnNewConnection = true; // a new connection may lead to another incarnation of the server
 };
 
 struct Outcome {
-    size_t twoHolders = 0; // moments with two servers up that hold the same key
-    size_t staleFences
-        = 0; // keys taken with a fence that an earlier incarnation of the server had them with, or a higher one
+    size_t twoHolders = 0; // checks of a key that found two running servers holding it
+    // Grants of a key with a fence no higher than the one with which a previous incarnation of the server had the key.
+    size_t staleFences = 0;
     size_t serverRestarts = 0;
     size_t grantsTaken = 0;
     size_t moves = 0;
     size_t terms = 0;
-    double heldShare = 0; // of the keys' time, while the world was calm at the end
+    double heldShare = 0; // share of the checks after recovery that found a key held by exactly one server
 };
 
-// How servers that crashed come back.
+// How crashed servers come back.
 enum class Restart : uint8_t {
     NewName, // as a new server
-    SameName, // under the name that they had, at the same address; the store tells of it at once or seconds later
+    SameName, // with their old name and address; the store shows this at once or seconds later
 };
 
 Outcome runHistory(uint64_t seed, const Guards&, Restart = Restart::NewName);
--- a/tests/grant_plan_test.cpp
+++ b/tests/grant_plan_test.cpp
@@ -1,4 +1,4 @@
-// One holder at a time, by random histories from fixed seeds; see grant_model.h for what goes wrong in them.
+// Tests that each key has at most one holder, in random histories from fixed seeds; grant_model.h lists their faults.
 #include "decisions/GrantPlan.h"
 #include "grant_model.h"
 
@@ -16,16 +16,15 @@
 
 struct Total {
     std::atomic<size_t> twoHolders { 0 }; // histories with two holders
-    std::atomic<size_t> staleFences {
-        0
-    }; // histories in which a new incarnation of a server took a fence of a former one
+    // Histories in which a new incarnation of a server took a fence of a previous one.
+    std::atomic<size_t> staleFences { 0 };
     std::atomic<uint64_t> firstStaleSeed { 0 };
     std::atomic<size_t> serverRestarts { 0 };
     std::atomic<uint64_t> firstTwoHoldersSeed { 0 };
     std::atomic<size_t> grantsTaken { 0 };
     std::atomic<size_t> moves { 0 };
     std::atomic<size_t> terms { 0 };
-    std::atomic<size_t> fullyHeld { 0 }; // histories in which at the end every key is held
+    std::atomic<size_t> fullyHeld { 0 }; // histories in which every key is held at the end
 };
 
 void runHistories(uint64_t histories, const Guards& guards, Total& total, Restart restart = Restart::NewName)
@@ -69,14 +68,15 @@
     Total total;
     runHistories(histories, {}, total, restart);
     MESSAGE(histories << " histories, " << total.grantsTaken.load() << " grants taken, " << total.moves.load()
-                      << " moves, " << total.terms.load() << " terms; first bad seed "
+                      << " moves, " << total.terms.load() << " terms; first seed with two holders "
                       << total.firstTwoHoldersSeed.load());
-    MESSAGE(total.serverRestarts.load() << " servers started again; a stale fence in " << total.staleFences.load()
+    MESSAGE(total.serverRestarts.load() << " server restarts; stale fences in " << total.staleFences.load()
                                         << " histories, first seed " << total.firstStaleSeed.load());
     CHECK(total.twoHolders.load() == 0);
     CHECK(total.staleFences.load() == 0);
     CHECK(total.fullyHeld.load() == histories);
-    // The histories must reach the code: several coordinators and many moves in each.
+    // Guards against histories that exercise too little: on average, each must have more than two terms
+    // and more than two moves.
     CHECK(total.terms.load() > 2 * histories);
     CHECK(total.moves.load() > 2 * histories);
     if (restart == Restart::SameName)
@@ -85,32 +85,31 @@
 
 }
 
-TEST_CASE("at most one server holds a key, whatever fails, and every key is held again afterwards")
+TEST_CASE("at most one server holds a key under any faults, and every key is held again afterwards")
 {
     checkAll(Restart::NewName);
 }
 
-// What the servers saw: one that had crashed was back within a renewal's time, under its name and at its address. The
-// coordinator had not heard of it yet and renewed there what the former incarnation had held, with the fence of that
-// incarnation.
-TEST_CASE("the same where servers start again under their names: each incarnation takes its keys with a higher fence")
+// Guards against renewals with a stale fence. A crashed server restarts under its name and address within one renewal
+// interval. The coordinator, which doesn't know of the restart yet, must not renew the previous incarnation's grants
+// there with their old fences.
+TEST_CASE("at most one server holds a key if servers restart under their names: each incarnation takes higher fences")
 {
     checkAll(Restart::SameName);
 }
 
-// Two servers held a key: a coordinator had announced a move from server 8 to server 3 and was lost before it released
-// server 8; server 3 was gone by then. The next coordinator looked for another target and took server 3, which might
-// have been granted the keys, for their only holder, while server 8 still held them.
-TEST_CASE("a move that a lost coordinator left behind lets go of its holder first, even if its target is gone")
+// Guards against two holders of a key. A coordinator announces a move from server 8 to server 3 and is lost before it
+// releases server 8; server 3 is gone as well. The next coordinator chooses another target. It must not treat server 3,
+// which may have been granted the keys, as their only holder while server 8 still holds them.
+TEST_CASE("a new coordinator releases the holder of an unfinished move first, even if the target is gone")
 {
     CHECK(runHistory(1497, {}).twoHolders == 0);
 }
 
-// What callers saw: requests for some keys were refused for 14 s after all hosts had been restarted. The new
-// coordinator finished a move that the former one had announced, then moved the keys again; it took the time for which
-// the former one might have renewed at the first target for an own order without an answer, and waited for it after the
-// release.
-TEST_CASE("a finished move that a former coordinator began can be followed by another at once")
+// Guards against requests being refused for 14 s after a restart of all hosts. A new coordinator completes a move that
+// the previous one announced, then moves the keys again. It must not count the time for which the previous coordinator
+// might have renewed at the first target as an unanswered order of its own, and wait for it after the release.
+TEST_CASE("keys can move again at once after a move that a previous coordinator began")
 {
     using namespace cumindale;
     GrantTable table;
@@ -128,7 +127,7 @@
     GrantPlan plan("s", {}, 5);
     Instant now { Millis(1'000) };
     plan.takeOver(table, now);
-    // Answers every order at once, and writes every table.
+    // Answers every order and writes every table at once.
     const auto advance = [&](Millis time) {
         for (const Instant until = now + time; now < until; now += Millis(10)) {
             plan.maintain(servers, now);
@@ -138,7 +137,7 @@
                 plan.onWritten(plan.edition(), now);
         }
     };
-    advance(Millis(2'000)); // until the end of the move is written
+    advance(Millis(2'000)); // long enough for the end of the move to be written
     REQUIRE(plan.table().ranges.front().holder == "b");
     REQUIRE(plan.move(0, keySpaceSize - 1, "c", "for the test"));
     advance(Millis(300));
@@ -150,13 +149,13 @@
 
 using namespace cumindale;
 
-// A plan of one service whose servers "a" and "b" answer as the test says.
+// The plan of a service with two servers, "a" and "b"; the test decides whether "a" answers.
 struct PlannedService {
     GrantPlan plan { "s", {}, 1 };
     GrantPlan::Servers servers { { "a", { "a", "s" } }, { "b", { "b", "s" } } };
     Instant now { Millis(1'000) };
-    bool aAnswers = true; // the coordinator's orders
-    bool aServes = true; // hosts' requests
+    bool aAnswers = true; // whether "a" answers the coordinator's orders
+    bool aServes = true; // whether "a" answers hosts' requests
 
     PlannedService()
     {
@@ -192,19 +191,19 @@
 
 }
 
-// What callers saw: half of the answers to grants were lost for five seconds, and a third of the requests were refused
-// although every server worked. After 0.8 s without an answer the coordinator took a server for lost and moved its
-// keys, which then had no owner until the hold had run out.
-TEST_CASE("a server that answers hosts is not taken for lost as soon as one that answers nobody")
+// Guards against moves away from working servers. With half of the answers to grants lost for five seconds, a third of
+// the requests were refused: after 0.8 s without an answer the coordinator treated a server as lost and moved its keys,
+// which then had no owner until the lease had expired.
+TEST_CASE("a server that still answers hosts is given longer before its keys move")
 {
     PlannedService service;
     REQUIRE(service.rangeOfA().holder == "a");
     service.aAnswers = false;
-    SUBCASE("it answers hosts")
+    SUBCASE("it answers hosts but not the coordinator")
     {
         service.advance(Millis(1'500));
         CHECK_FALSE(service.rangeOfA().moving());
-        // Without any answer the hold ends at last: its keys go elsewhere, and hosts use it until it refuses.
+        // Without any answer the lease expires in the end: the keys move, and hosts use the server until it refuses.
         service.advance(Millis(1'500));
         REQUIRE(service.rangeOfA().moving());
         CHECK(service.rangeOfA().holderState == HolderState::Unreachable);
@@ -212,7 +211,7 @@
         service.advance(Millis(1'000));
         CHECK(service.rangeOfA().holderState == HolderState::Lost);
     }
-    SUBCASE("it answers nobody")
+    SUBCASE("it answers neither hosts nor the coordinator")
     {
         service.aServes = false;
         service.advance(Millis(1'500));
@@ -220,11 +219,10 @@
         CHECK(service.rangeOfA().holderState == HolderState::Lost);
     }
     service.advance(Millis(4'000));
-    CHECK(service.rangeOfA().holder.empty()); // all keys are held by the other one
+    CHECK(service.rangeOfA().holder.empty()); // the other server holds all keys
 }
 
-TEST_CASE(
-    "a grant over a new connection needs a new fence: without it some incarnation takes a fence of its former one")
+TEST_CASE("without a new fence on a new connection, some incarnation takes a fence of the previous one")
 {
     Guards guards;
     guards.newFenceOnNewConnection = false;
@@ -234,9 +232,9 @@
     CHECK(total.staleFences.load() > 0);
 }
 
-// What callers saw: the keys of a server that had started again waited for a hold of three seconds. Another server's
-// name began with its own, and sorted between the two incarnations.
-TEST_CASE("the incarnation that is registered under a name is found among names that begin with it")
+// Guards against the keys of a restarted server waiting for a lease of three seconds. This happened when the name of
+// another server began with the name of the restarted one and sorted between its two incarnations.
+TEST_CASE("the incarnation registered under a name is found among longer names with the same prefix")
 {
     GrantPlan::Servers servers;
     for (const auto* id : { "x-2@9", "x@7", "x2@3", "xy@1", "y" })
@@ -252,18 +250,19 @@
     CHECK(idUnder("z").empty());
 }
 
-TEST_CASE("each guard is needed: without it some history has two holders")
+TEST_CASE("each safety rule is needed: without it some history has two holders")
 {
     struct Case {
         std::string name;
         std::function<void(Guards&)> disable;
     };
     const std::vector<Case> cases {
-        { "wait for the hold", [](Guards& guards) { guards.waitForLeaseExpiry = false; } },
-        { "write first", [](Guards& guards) { guards.writeBeforeOrders = false; } },
-        { "the office ends", [](Guards& guards) { guards.requireMajorityWithoutStore = false; } },
-        { "wait for the former", [](Guards& guards) { guards.waitForPreviousCoordinator = false; } },
-        { "wait for what is unanswered", [](Guards& guards) { guards.waitForUnanswered = false; } },
+        { "wait for the expiry of the lease", [](Guards& guards) { guards.waitForLeaseExpiry = false; } },
+        { "write the table before sending orders", [](Guards& guards) { guards.writeBeforeOrders = false; } },
+        { "require a majority while the store is unavailable",
+            [](Guards& guards) { guards.requireMajorityWithoutStore = false; } },
+        { "wait for the previous coordinator", [](Guards& guards) { guards.waitForPreviousCoordinator = false; } },
+        { "wait for unanswered orders", [](Guards& guards) { guards.waitForUnanswered = false; } },
     };
     for (const auto& one : cases) {
         Guards guards;
--- a/tests/grant_table_test.cpp
+++ b/tests/grant_table_test.cpp
@@ -35,7 +35,7 @@
 
 }
 
-TEST_CASE("a table survives its text")
+TEST_CASE("a table is unchanged after encoding and decoding")
 {
     rc::check([] {
         const GrantTable table = randomTable(3);
@@ -48,7 +48,7 @@
     });
 }
 
-TEST_CASE("what changed between two editions makes one of the other, through its text")
+TEST_CASE("an encoded change turns the earlier edition into the later one")
 {
     rc::check([] {
         const GrantTable earlier = randomTable(3);
@@ -61,7 +61,7 @@
     });
 }
 
-TEST_CASE("a table with a gap, or of another form, is refused")
+TEST_CASE("a table with a gap or a malformed table is rejected")
 {
     CHECK_FALSE(decodeGrantTable("{}"));
     CHECK_FALSE(decodeGrantTable("[1,2"));
