--- /dev/null
+++ b/packages/decisions/LeadershipRules.h
@@ -0,0 +1,56 @@
+// Decides how long a coordinator may act without the store, and when a new coordinator can rely on the previous one
+// having stopped.
+//
+// If the store is unavailable to all hosts, the coordinator must go on renewing grants, or every server loses its keys
+// after one lease. If the store is unavailable to the coordinator alone, another host is elected and the previous
+// coordinator must stop. Both use the same list of hosts, which the coordinator writes to the store, and each host
+// reports to only one coordinator, the newest that it knows of. Hence these rules:
+//
+// - Without confirmation by the store, a coordinator acts only while more than half of the listed hosts have reported
+//   to it within `reportLifetime`, and never longer than `maxWithoutStore`.
+// - Once half of the listed hosts have reported to a new coordinator, the previous one can't have a majority. It stops
+//   within `reportLifetime` plus the time that a report may take to arrive.
+#pragma once
+
+#include "base/Time.h"
+
+#include <map>
+#include <set>
+#include <string>
+#include <string_view>
+
+namespace cumindale {
+
+struct LeadershipTiming {
+    Millis lease { 1'500 }; // of the leadership in the store
+    Millis reportLifetime { 1'200 }; // validity of a host's report: a few report intervals
+    Millis reportTimeout { 400 }; // a report arrives within this time or never
+    Millis maxWithoutStore { 12'000 }; // longer than the store outages that hosts see
+};
+
+class LeadershipRules {
+public:
+    explicit LeadershipRules(LeadershipTiming timing)
+        : m_timing(timing)
+    {
+    }
+
+    // The list in the store.
+    void setListedHosts(std::set<std::string, std::less<>> hosts) { m_listedHosts = std::move(hosts); }
+    const std::set<std::string, std::less<>>& listedHosts() const { return m_listedHosts; }
+    void onReport(std::string_view host, Instant now);
+
+    // `confirmed`: when the last request was sent to which the store answered that this host is the coordinator.
+    bool mayAct(Instant confirmed, Instant now) const;
+    // Whether so many hosts report to this one that a previous coordinator has no majority and must stop.
+    bool previousLostMajority() const;
+    // When a previous coordinator that has just lost its majority has stopped at the latest.
+    Instant previousStoppedBy(Instant now) const { return now + m_timing.reportLifetime + m_timing.reportTimeout; }
+
+private:
+    LeadershipTiming m_timing;
+    std::set<std::string, std::less<>> m_listedHosts;
+    std::map<std::string, Instant, std::less<>> m_reports; // time of the last report of each listed host in this term
+};
+
+}
--- a/tests/grant_table_test.cpp
+++ b/tests/grant_table_test.cpp
@@ -15,11 +15,11 @@
     table.edition = { 7, edition };
     table.highestFence = 99;
     uint32_t first = 0;
-    while (first < numberedKeys) {
+    while (first < keySpaceSize) {
         KeyRange range;
         range.first = first;
         const auto size = static_cast<uint32_t>(*rc::gen::inRange(1, 30'000));
-        range.last = std::min(numberedKeys - 1, first + size - 1);
+        range.last = std::min(keySpaceSize - 1, first + size - 1);
         range.holder = *rc::gen::element<std::string>("a", "b", "c");
         range.fence = static_cast<uint64_t>(*rc::gen::inRange(1, 5));
         if (*rc::gen::inRange(0, 3) == 0) {
@@ -35,7 +35,7 @@
 
 }
 
-TEST_CASE("a table survives its text")
+TEST_CASE("a table is unchanged after encoding and decoding")
 {
     rc::check([] {
         const GrantTable table = randomTable(3);
@@ -48,7 +48,7 @@
     });
 }
 
-TEST_CASE("what changed between two editions makes one of the other, through its text")
+TEST_CASE("an encoded change turns the earlier edition into the later one")
 {
     rc::check([] {
         const GrantTable earlier = randomTable(3);
@@ -61,7 +61,7 @@
     });
 }
 
-TEST_CASE("a table with a gap, or of another form, is refused")
+TEST_CASE("a table with a gap or a malformed table is rejected")
 {
     CHECK_FALSE(decodeGrantTable("{}"));
     CHECK_FALSE(decodeGrantTable("[1,2"));
