--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -814,7 +814,7 @@
 
 void Coordinator::tellCrowded(std::span<const std::string> servers)
 {
-    const auto told = m_shares.toTell(servers, m_clock.now());
+    const auto told = m_shares.crowdsToAnnounce(servers, m_clock.now());
     if (told.empty())
         return;
     m_crowdsTold.add(told.size());
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -27,30 +27,30 @@
 
 namespace {
 
-    constexpr Millis reportEvery { 250 };
+    constexpr Millis reportInterval { 250 };
     // A request that waits for a permit is told at once, but for this time since the last report: many wait while a key
     // is hot.
-    constexpr Millis shortestReport { 100 };
+    constexpr Millis minReportInterval { 100 };
     // A request without an answer for so many times the usual work has most likely met a full server that hangs. While
     // the server answers others, it no longer counts as being there.
-    constexpr int overdueAfter = 4;
+    constexpr int overdueFactor = 4;
     // The budget of second sends is shared by all hosts; each spends its own requests' part of the ratio and an even
     // part of the slack. Three quarters of it: hosts come and go, and how many there are is known late.
-    constexpr double budgetUsed = 0.75;
+    constexpr double budgetFraction = 0.75;
     constexpr Millis retryPause { 4 }; // at least, and up to as much again
     // For what is left of the time until a leaving server must get nothing new: a host learns of it up to 0.6 s late (a
     // look of the coordinator at the store, a message lost and repeated with the next report), and the way and the wait
     // for a connection take 0.3 s.
     constexpr Millis leaveMargin { 1'000 };
     // The same, where the server itself told this host: the way and the wait for a connection only.
-    constexpr Millis toldMargin { 250 };
+    constexpr Millis announcedLeaveMargin { 250 };
     // Of a request to this host and of its answer back. Callers are about 8 ms away; a new connection takes another
     // turn.
-    constexpr Millis answerWay { 25 };
-    constexpr Millis notHeldPause { 150 }; // for the news of a key's move to come
-    constexpr Millis refusesAgainFor { 300 }; // a server that was asked for a key which it doesn't hold
+    constexpr Millis callerRoundTrip { 25 };
+    constexpr Millis keyRefusalPause { 150 }; // for the news of a key's move to come
+    constexpr Millis keyRefusalDuration { 300 }; // a server that was asked for a key which it doesn't hold
     constexpr unsigned misdirected = 421; // RFC 9110, section 15.5.20
-    constexpr Millis firstWork { 100 }; // guess for a route's work until one has ended
+    constexpr Millis defaultWork { 100 }; // guess for a route's work until one has ended
 
     PriorityClass classOf(const HostRoute& route)
     {
@@ -116,7 +116,7 @@
     unsigned share = 0; // of the last server's slots, as this host had it
     bool crowded = false; // the last server got nothing without a permit
     bool maybeRan = false; // an earlier try may have run
-    ErrorKind unknown = ErrorKind::None; // how the try ended of which that isn't known
+    ErrorKind uncertainError = ErrorKind::None; // how the try ended of which that isn't known
     std::vector<std::string> tried; // server ids
     mutable std::vector<Fingerprint> fingerprints; // of the whole request first; empty until they are needed
     std::optional<CallerResponse> failure; // a server's own failure, delivered if no other try does better
@@ -135,10 +135,10 @@
     , m_latency(metrics.distribution("request_total"))
     , m_added(metrics.distribution("request_added"))
     , m_answered(metrics.counter("requests_answered"))
-    , m_repeats(metrics.counter("requests_sent_again"))
-    , m_registered(std::make_shared<ServerMap>())
+    , m_retries(metrics.counter("requests_sent_again"))
+    , m_registeredServers(std::make_shared<ServerMap>())
     , m_changed(executor)
-    , m_heldBack(executor)
+    , m_urgentReport(executor)
 {
 }
 
@@ -162,17 +162,17 @@
         m_boundsSink(m_rules->bounds);
     }
     if (update.servers) {
-        m_registered = std::move(update.servers);
-        m_registeredAsOf = update.serversAsOf;
+        m_registeredServers = std::move(update.servers);
+        m_registeredRevision = update.serversAsOf;
     }
     if (serversChanged)
         applyServers();
     if (update.crashes) {
-        const auto innocent
+        const auto cleared
             = m_crashes.applyCoordinatorUpdate(update.crashes->suspects, update.crashes->quarantined, m_clock.now());
-        for (const Fingerprint request : innocent)
+        for (const Fingerprint request : cleared)
             logChange(LogLevel::Info, "suspect-answered", { { "fingerprint", fingerprintText(request) } });
-        if (!innocent.empty())
+        if (!cleared.empty())
             reportEarly();
     }
     if (update.newCoordinator) {
@@ -180,7 +180,7 @@
         if (m_crashes.hasUnreported())
             reportEarly();
         for (const auto& [id, server] : m_servers)
-            server->repeatRate();
+            server->repeatLimitReport();
     }
     if (update.shares)
         applyShares(*update.shares);
@@ -204,7 +204,7 @@
 void Gateway::applyShares(const HostShares& shares)
 {
     const Instant now = m_clock.now();
-    m_sharesSeen = shares.number;
+    m_lastSharesNumber = shares.number;
     m_hostCount.count(shares.hosts, now);
     if (m_hosts != shares.hosts) {
         m_hosts = shares.hosts;
@@ -216,9 +216,9 @@
     for (const auto& [id, server] : m_servers) {
         const auto limit = shares.limits ? shares.limits->find(id) : RateLimits::const_iterator {};
         const bool limited = shares.limits && limit != shares.limits->end();
-        server->tellRate(limited ? std::optional(limit->second) : std::nullopt, sharers, now);
+        server->setLimitFromCoordinator(limited ? std::optional(limit->second) : std::nullopt, sharers, now);
     }
-    for (const auto& id : std::exchange(m_shared, {})) {
+    for (const auto& id : std::exchange(m_sharedServers, {})) {
         const auto server = m_servers.find(id);
         if (server != m_servers.end() && !shares.servers.count(id))
             server->second->clearShare(now);
@@ -227,9 +227,9 @@
         const auto server = m_servers.find(id);
         if (server == m_servers.end())
             continue;
-        server->second->advise(advice, now);
+        server->second->applyAdvice(advice, now);
         if (advice.kind == ServerAdvice::Kind::Share)
-            m_shared.push_back(id);
+            m_sharedServers.push_back(id);
     }
 }
 
@@ -249,16 +249,16 @@
 void Gateway::applyServers()
 {
     std::erase_if(m_servers, [&](const auto& entry) {
-        const bool gone = !m_registered->count(entry.first);
+        const bool gone = !m_registeredServers->count(entry.first);
         if (!gone)
             return false;
         entry.second->pool.evictQueue();
-        noteGone(*entry.second, "its entry was removed");
+        recordServerGone(*entry.second, "its entry was removed");
         return true;
     });
     m_byService.clear();
     const Instant now = m_clock.now();
-    for (const auto& [id, entry] : *m_registered) {
+    for (const auto& [id, entry] : *m_registeredServers) {
         const RoutedService* service = m_rules ? m_rules->service(entry.service) : nullptr;
         auto& server = m_servers[id];
         if (!server)
@@ -289,7 +289,7 @@
     const auto found = m_budgets.find(service);
     if (found != m_budgets.end())
         return found->second;
-    const RetryBudgetOptions options { budgetUsed * m_options.settings.retryRatio, retryBurst() };
+    const RetryBudgetOptions options { budgetFraction * m_options.settings.retryRatio, retryBurst() };
     return m_budgets.emplace(service, RetryBudget(options)).first->second;
 }
 
@@ -298,7 +298,7 @@
     // Until a coordinator has said how many hosts there are, hardly any.
     if (!m_hosts)
         return 1;
-    return std::max(1.0, budgetUsed * m_options.settings.retrySlack / static_cast<double>(m_hosts));
+    return std::max(1.0, budgetFraction * m_options.settings.retrySlack / static_cast<double>(m_hosts));
 }
 
 ErrorKind Gateway::prepare(Job& job)
@@ -315,12 +315,12 @@
     const auto timeLeft = numberIn(request[m_names.timeLeft], 0);
     const Millis patience = timeLeft ? Millis(timeLeft) : job.route->timeout;
     job.callerDeadline = job.arrived + patience;
-    job.deadline = std::min(job.callerDeadline - answerWay, job.arrived + job.route->timeout);
+    job.deadline = std::min(job.callerDeadline - callerRoundTrip, job.arrived + job.route->timeout);
     // A caller that comes back says less time left than one that asks for the first time: by that much its target is
     // nearer.
-    Millis& longest = m_longestPatience[job.route->name];
+    Millis& longest = m_longestCallerTimeout[job.route->name];
     longest = std::max(longest, patience);
-    job.target = job.arrived + job.route->target - (longest - patience) - answerWay;
+    job.target = job.arrived + job.route->target - (longest - patience) - callerRoundTrip;
     job.service = m_splits.next(*job.route);
     const RoutedService* service = m_rules->service(job.service);
     job.keyed = service && service->keyed;
@@ -329,7 +329,7 @@
     stripForServer(request);
     budgetOf(job.service).deposit();
     if (job.keyed)
-        m_keyUse[job.service][job.key] += static_cast<uint64_t>(firstWork.count()) * 1000;
+        m_keyUse[job.service][job.key] += static_cast<uint64_t>(defaultWork.count()) * 1000;
     return ErrorKind::None;
 }
 
@@ -361,14 +361,14 @@
                 logRequest(job, "answered-late", error, job.tried.back());
             co_return response;
         }
-        if (job.presence.gone || !mayTryAgain(job, error))
+        if (job.presence.gone || !mayRetry(job, error))
             co_return refuse(job, error);
         if (job.sends)
             co_await sleepFor(spread(retryPause)); // many that failed together don't come back together
     }
 }
 
-bool Gateway::mayTryAgain(Job& job, ErrorKind error)
+bool Gateway::mayRetry(Job& job, ErrorKind error)
 {
     const ErrorAnswer& answer = answerFor(error);
     const Instant now = m_clock.now();
@@ -388,14 +388,14 @@
         return !job.keyed && job.tried.size() < m_byService[job.service].size();
     if (job.sends >= job.route->maxAttempts || !budgetOf(job.service).tryWithdraw())
         return false;
-    m_repeats.add();
+    m_retries.add();
     logRequest(job, "request-again", error, job.tried.empty() ? std::string_view() : job.tried.back());
     return true;
 }
 
 // --- Where to
 
-Gateway::Located Gateway::locate(const Job& job) { return job.keyed ? locateKey(job) : choose(job); }
+Gateway::Located Gateway::locate(const Job& job) { return job.keyed ? locateKey(job) : chooseByLoad(job); }
 
 Gateway::Located Gateway::locateKey(const Job& job)
 {
@@ -410,31 +410,31 @@
     if (server == m_servers.end())
         return { ErrorKind::NoOwner, nullptr, false };
     const auto& upstream = server->second;
-    if (upstream->ended)
+    if (upstream->replaced)
         return { ErrorKind::NoOwner, nullptr, false };
     // Its keys are about to move; should that take long, nothing new may reach it in the end.
     const Instant now = m_clock.now();
     const auto overdue = [&](Instant since, Millis within) { return now - since > within - leaveMargin; };
-    const bool left = upstream->entry.leaving && overdue(upstream->leavingSince, m_options.settings.leaveWithin);
-    const bool saidSo
-        = upstream->saysLeaving() && now - upstream->saysLeavingSince() > m_options.settings.leaveWithin - toldMargin;
-    const bool cleared
+    const bool leaving = upstream->entry.leaving && overdue(upstream->leavingSince, m_options.settings.leaveWithin);
+    const bool announced = upstream->announcedLeaving()
+        && now - upstream->announcedLeavingSince() > m_options.settings.leaveWithin - announcedLeaveMargin;
+    const bool evacuated
         = upstream->entry.evacuated && overdue(upstream->evacuatedSince, m_options.settings.evacuateWithin);
-    if (left || saidSo || cleared)
+    if (leaving || announced || evacuated)
         return { ErrorKind::NoOwner, nullptr, false };
-    if (range->moving() && now < upstream->holdsNothingUntil)
+    if (range->moving() && now < upstream->refusesKeysUntil)
         return { ErrorKind::Moving, nullptr, false };
-    if (upstream->wantsRest(now))
-        return { ErrorKind::ServerResting, nullptr, false, upstream->restUntil() };
-    if (upstream->awaitsTurn(now))
-        return { ErrorKind::ServerAtLimit, nullptr, false, upstream->nextTurn(now) };
+    if (upstream->backingOff(now))
+        return { ErrorKind::ServerResting, nullptr, false, upstream->backoffEnd() };
+    if (upstream->isLocallyLimited(now))
+        return { ErrorKind::ServerAtLimit, nullptr, false, upstream->nextLocalSend(now) };
     // Its keys move to a server that is warm.
     if (!maySendTo(*upstream, now))
         return { ErrorKind::WarmingUp, nullptr, anyWarm(job.service, now), upstream->warmupEnd() };
     return { ErrorKind::None, upstream };
 }
 
-Gateway::Located Gateway::choose(const Job& job)
+Gateway::Located Gateway::chooseByLoad(const Job& job)
 {
     const auto found = m_byService.find(job.service);
     if (found == m_byService.end())
@@ -465,11 +465,11 @@
     const bool large = job.request.body().size() > largeBody;
     const auto best = chooseServer(candidates, randomNumber(), large ? farForLarge : farForSmall);
     if (!best)
-        return chooseUnready(job);
+        return chooseFallback(job);
     return { ErrorKind::None, found->second[*best] };
 }
 
-Gateway::Located Gateway::chooseUnready(const Job& job)
+Gateway::Located Gateway::chooseFallback(const Job& job)
 {
     const Instant now = m_clock.now();
     Located located { ErrorKind::NoOwner, nullptr, false };
@@ -480,7 +480,7 @@
         const bool tried = std::find(job.tried.begin(), job.tried.end(), server->entry.id) != job.tried.end();
         if (server->outOfUse() || tried)
             continue;
-        const auto [error, readyAt] = whyUnready(*server, now);
+        const auto [error, readyAt] = unreadyReason(*server, now);
         if (error == ErrorKind::None)
             return { ErrorKind::None, server };
         if (located.error != ErrorKind::NoOwner && readyAt >= located.readyAt)
@@ -491,12 +491,12 @@
     return located;
 }
 
-std::pair<ErrorKind, Instant> Gateway::whyUnready(const Upstream& server, Instant now) const
+std::pair<ErrorKind, Instant> Gateway::unreadyReason(const Upstream& server, Instant now) const
 {
-    if (server.wantsRest(now))
-        return { ErrorKind::ServerResting, server.restUntil() };
-    if (server.awaitsTurn(now))
-        return { ErrorKind::ServerAtLimit, server.nextTurn(now) };
+    if (server.backingOff(now))
+        return { ErrorKind::ServerResting, server.backoffEnd() };
+    if (server.isLocallyLimited(now))
+        return { ErrorKind::ServerAtLimit, server.nextLocalSend(now) };
     if (!maySendTo(server, now))
         return { ErrorKind::WarmingUp, server.warmupEnd() };
     return { ErrorKind::None, now };
@@ -504,12 +504,12 @@
 
 bool Gateway::maySendTo(const Upstream& server, Instant now) const
 {
-    if (server.awaitsTurn(now))
+    if (server.isLocallyLimited(now))
         return false;
     if (!server.warmingUp(now))
         return true;
     const auto hosts = m_hostCount.settled(now);
-    return hosts && server.hasWarmUpTurn(now)
+    return hosts && server.warmUpPauseOver(now)
         && maySendDuringWarmUp(m_options.host, server.entry.id, *hosts, server.warmUp());
 }
 
@@ -531,14 +531,14 @@
         const Instant until = std::min({ job.deadline, job.arrived + m_options.moveWait, at.readyAt });
         const Instant now = m_clock.now();
         // What takes longer than a move is refused at once: waiting would only use up the caller's time.
-        job.waited = !at.soon || now >= until;
+        job.waited = !at.worthWaiting || now >= until;
         if (!job.waited)
             co_await m_changed.wait(until - now);
         co_return at.error;
     }
     const auto server = at.server;
     const Instant asked = m_clock.now();
-    server->count(asked);
+    server->accumulateUse(asked);
     server->applyLimit(asked);
     job.share = server->pool.admission().limit();
     job.crowded = server->needsPermit(asked);
@@ -557,13 +557,13 @@
     if (admitted == ServerPool::Admitted::TimedOut)
         co_return ErrorKind::DeadlineBeforeSend;
     const auto giveUp = [&] {
-        server->count(m_clock.now());
+        server->accumulateUse(m_clock.now());
         server->pool.release(job.priority, Millis(0));
     };
     auto connection = co_await server->pool.take(job.route->idempotent(), m_options.connectTimeout);
     if (!connection) {
         giveUp();
-        server->failed(m_clock.now());
+        server->recordFailure(m_clock.now());
         server->connectFailed();
         job.tried.push_back(server->entry.id);
         logRequest(job, "server-unreachable", ErrorKind::ServerUnreachable, server->entry.id);
@@ -571,23 +571,23 @@
     }
     // The wait for a slot or a connection may have outlived the table, the server or the caller.
     const Instant connectedAt = m_clock.now();
-    const bool closed = server->outOfUse() || server->wantsRest(connectedAt) || !m_servers.count(server->entry.id);
+    const bool closed = server->outOfUse() || server->backingOff(connectedAt) || !m_servers.count(server->entry.id);
     const bool moved = job.keyed ? locate(job).server != server : closed;
     const Millis leastTime = server->pool.admission().meanWork(job.priority) / 2;
     const bool late = connectedAt + leastTime >= job.deadline;
     // One that started anew holds no keys, and refuses them until its entry is known.
-    const bool startedAnew = !job.keyed && !server->connected(connectedAt);
+    const bool restarted = !job.keyed && !server->recordConnected(connectedAt);
     // It has named a limit since this request was let through without a permit.
     const bool needsPermit = !job.crowded && server->rateLimit() && server->needsPermit(connectedAt);
-    const bool heldOff = startedAnew || needsPermit || !maySendTo(*server, connectedAt);
-    if (moved || heldOff || late || job.presence.gone) {
+    const bool mustWait = restarted || needsPermit || !maySendTo(*server, connectedAt);
+    if (moved || mustWait || late || job.presence.gone) {
         giveUp();
         server->pool.giveBack(std::move(connection));
-        co_return moved || heldOff ? ErrorKind::OwnerChanged : ErrorKind::DeadlineBeforeSend;
+        co_return moved || mustWait ? ErrorKind::OwnerChanged : ErrorKind::DeadlineBeforeSend;
     }
     if (server->warmingUp(connectedAt))
-        server->takeWarmUpTurn(connectedAt);
-    server->takeTurn(connectedAt);
+        server->recordWarmUpSend(connectedAt);
+    server->recordLocalSend(connectedAt);
     co_return co_await exchange(job, *server, std::move(connection), response);
 }
 
@@ -602,7 +602,7 @@
     const Instant sentAt = m_clock.now();
     const Millis timeout = job.deadline - sentAt;
     CallerRequest& request = job.request;
-    request.set(m_names.wantedServer, serverNameOf(id));
+    request.set(m_names.targetServer, serverNameOf(id));
     request.set(m_names.timeLeft, std::to_string(timeout.count()));
     request.keep_alive(true);
     request.prepare_payload();
@@ -611,58 +611,58 @@
     if (job.route->idempotent())
         job.presence.whenGone = [&connection] { connection->abandon(); };
     const Millis usual = held->pool.admission().meanWork(job.priority);
-    const auto overdue = held->overdueFrom.insert(sentAt + usual * overdueAfter);
+    const auto overdue = held->overdueTimes.insert(sentAt + usual * overdueFactor);
     ExchangeResult result = co_await connection->exchange(request, timeout, m_names.requestId);
-    held->overdueFrom.erase(overdue);
+    held->overdueTimes.erase(overdue);
     job.presence.whenGone = nullptr;
     const Instant endedAt = m_clock.now();
     const Millis took = std::max(Millis(1), endedAt - sentAt);
     job.serverMicros += took.count() * 1000;
-    const ErrorKind error = judge(job, result);
-    held->count(endedAt);
+    const ErrorKind error = classify(job, result);
+    held->accumulateUse(endedAt);
     const bool worked = error == ErrorKind::None;
     held->pool.release(job.priority, worked ? took : Millis(0));
     if (held->crowded(endedAt))
         reportEarly();
     if (worked) {
-        held->answered();
-        held->countWork(took);
+        held->recordSuccess();
+        held->recordWork(took);
     } else if (!job.presence.gone) {
         // Also one that refuses because it is full: it answers at once and has measured no work, so that it would look
         // like the quickest of all and be asked again and again, most of all while servers are replaced.
-        held->failed(endedAt);
+        held->recordFailure(endedAt);
     }
     if (result.error == ErrorKind::None && !answeredByAnother(result, id))
-        takeNotice(job, *held, result.response);
+        applyNotice(job, *held, result.response);
     if (error == ErrorKind::ServerRefused && answeredByAnother(result, id)) {
-        held->ended = true;
+        held->replaced = true;
         logRequest(job, "server-replaced", error, id);
-        noteGone(*held, "another server has its address");
+        recordServerGone(*held, "another server has its address");
     }
     if (!result.ended)
         held->pool.giveBack(std::move(connection));
     if (error == ErrorKind::ServerRefused && result.response.result_int() == misdirected)
-        held->holdsNothingUntil = endedAt + refusesAgainFor;
+        held->refusesKeysUntil = endedAt + keyRefusalDuration;
     if (worked) {
         if (suspect(job))
             logRequest(job, "suspect-answered", error, id);
         for (const Fingerprint fingerprint : fingerprintsOf(job))
             m_crashes.answered(fingerprint, endedAt);
     } else {
-        noteLostSend(job, held, error);
+        recordLostResponse(job, held, error);
         if (answerFor(error).ran != Ran::No) {
             job.maybeRan = true;
-            job.unknown = error;
+            job.uncertainError = error;
         }
         logRequest(job, "send-failed", error, id);
         // Its key is held by another server by now, or will be; or it was full: asked again at once it would refuse
         // again, and each send spends the budget of all.
-        if (error == ErrorKind::ServerRefused && job.keyed && held->wantsRest(endedAt)) {
-            job.readyAt = held->restUntil();
+        if (error == ErrorKind::ServerRefused && job.keyed && held->backingOff(endedAt)) {
+            job.readyAt = held->backoffEnd();
             co_return ErrorKind::ServerResting;
         }
-        if (error == ErrorKind::ServerRefused && job.keyed && !held->ended)
-            co_await m_changed.wait(std::min(notHeldPause, std::max(Millis(1), job.deadline - endedAt)));
+        if (error == ErrorKind::ServerRefused && job.keyed && !held->replaced)
+            co_await m_changed.wait(std::min(keyRefusalPause, std::max(Millis(1), job.deadline - endedAt)));
         co_return error;
     }
     response = std::move(result.response);
@@ -670,9 +670,9 @@
     constexpr unsigned firstFailure = 500;
     // A server's own failure of a request that may be repeated: another server may do better.
     if (response.result_int() >= firstFailure && job.route->idempotent() && job.sends < job.route->maxAttempts) {
-        held->failed(endedAt);
+        held->recordFailure(endedAt);
         job.maybeRan = true;
-        job.unknown = ErrorKind::BadAnswer;
+        job.uncertainError = ErrorKind::BadAnswer;
         job.failure = std::move(response);
         co_return ErrorKind::ServerFailed;
     }
@@ -698,7 +698,7 @@
     return job.fingerprints;
 }
 
-Fingerprint Gateway::fingerprintToTell(const Job& job) const
+Fingerprint Gateway::relevantFingerprint(const Job& job) const
 {
     const auto& fingerprints = fingerprintsOf(job);
     const auto quarantined = std::find_if(fingerprints.begin(), fingerprints.end(),
@@ -708,7 +708,7 @@
 
 bool Gateway::quarantined(const Job& job) const
 {
-    return m_crashes.hasQuarantined() && m_crashes.isQuarantined(fingerprintToTell(job));
+    return m_crashes.hasQuarantined() && m_crashes.isQuarantined(relevantFingerprint(job));
 }
 
 bool Gateway::suspect(const Job& job) const
@@ -720,7 +720,7 @@
         fingerprints.begin(), fingerprints.end(), [&](Fingerprint request) { return m_crashes.isSuspect(request); });
 }
 
-void Gateway::noteLostSend(const Job& job, const std::shared_ptr<Upstream>& server, ErrorKind error)
+void Gateway::recordLostResponse(const Job& job, const std::shared_ptr<Upstream>& server, ErrorKind error)
 {
     // This host ends an idempotent request when its caller leaves: that tells nothing of the server.
     const bool endedHere = job.presence.gone && job.route->idempotent();
@@ -731,17 +731,18 @@
         m_crashes.responseLost(server->entry.id, fingerprint, now);
     // Some servers reset connections while they are full. There each look would be one connection more that takes a
     // place, and make more of them; a crash is seen the first time.
-    constexpr Millis lookAgainAfter { 5'000 };
-    const bool lookedLately = server->lookedAt != Instant {} && now - server->lookedAt < lookAgainAfter;
-    if (error != ErrorKind::ConnectionLost || lookedLately)
+    constexpr Millis checkInterval { 5'000 };
+    const bool checkedRecently
+        = server->reachabilityCheckedAt != Instant {} && now - server->reachabilityCheckedAt < checkInterval;
+    if (error != ErrorKind::ConnectionLost || checkedRecently)
         return;
-    server->lookedAt = now;
-    spawnLoop(m_executor, "server-look", lookAfter(server));
+    server->reachabilityCheckedAt = now;
+    spawnLoop(m_executor, "server-look", checkReachable(server));
 }
 
 // A connection may end for many reasons. Whether its server is still there tells a crash from all others within
 // milliseconds; the connection is kept for the next request.
-asio::awaitable<void> Gateway::lookAfter(std::shared_ptr<Upstream> server)
+asio::awaitable<void> Gateway::checkReachable(std::shared_ptr<Upstream> server)
 {
     auto connection = co_await server->pool.connect(m_options.connectTimeout);
     if (connection) {
@@ -751,10 +752,10 @@
         co_return;
     }
     server->connectFailed();
-    noteGone(*server, "it takes no connections");
+    recordServerGone(*server, "it takes no connections");
 }
 
-void Gateway::noteGone(const Upstream& server, std::string_view why)
+void Gateway::recordServerGone(const Upstream& server, std::string_view why)
 {
     // One that left in good order crashed from nothing.
     if (server.leaving()) {
@@ -774,42 +775,42 @@
     reportEarly();
 }
 
-void Gateway::takeNotice(const Job& job, Upstream& server, const BackendResponse& answer)
+void Gateway::applyNotice(const Job& job, Upstream& server, const BackendResponse& answer)
 {
     const std::string limit = joinedValues(answer, m_names.limit);
     const ServerNotice notice
         = parseServerNotice(answer.result_int(), answer[m_names.leaving], answer[http::field::retry_after], limit);
     const Instant now = m_clock.now();
     const std::string& id = server.entry.id;
-    if (notice.leaving && !server.saysLeaving()) {
-        server.sayLeaving(now);
+    if (notice.leaving && !server.announcedLeaving()) {
+        server.setAnnouncedLeaving(now);
         m_metrics.counter("servers_saying_they_leave").add();
         logChange(LogLevel::Info, "server-says-leaving", { { "server", id }, { "request", job.id } });
         if (!server.entry.leaving)
             reportEarly();
     }
     if (notice.retryAfter > Millis(0)) {
-        const bool known = server.wantsRest(now);
-        server.askForRest(now + notice.retryAfter);
+        const bool known = server.backingOff(now);
+        server.backOffUntil(now + notice.retryAfter);
         m_metrics.counter("server_rests").add();
         if (!known && mayLog())
             logChange(LogLevel::Info, "server-wants-rest",
                 { { "server", id }, { "request", job.id }, { "restMs", notice.retryAfter.count() } });
     }
-    if (notice.malformed && !std::exchange(server.noticeIsOdd, true))
+    if (notice.malformed && !std::exchange(server.malformedNoticeLogged, true))
         logChange(LogLevel::Warning, "server-notice-odd",
             { { "server", id }, { "request", job.id }, { "leaving", answer[m_names.leaving] },
                 { "retryAfter", answer[http::field::retry_after] }, { "limit", limit } });
     if (!notice.limitUnreadable)
-        noteRate(job, server, notice.limit);
+        applyAnnouncedLimit(job, server, notice.limit);
 }
 
-void Gateway::noteRate(const Job& job, Upstream& server, std::optional<PerSecond> limit)
+void Gateway::applyAnnouncedLimit(const Job& job, Upstream& server, std::optional<PerSecond> limit)
 {
-    server.sayRate(limit, m_clock.now());
+    server.setLimitFromServer(limit, m_clock.now());
     if (limit)
         m_metrics.counter("server_limits_named").add();
-    const auto before = std::exchange(server.namedRate, limit);
+    const auto before = std::exchange(server.loggedLimit, limit);
     if (before.has_value() != limit.has_value())
         reportEarly();
     if (before == limit || !mayLog())
@@ -828,7 +829,7 @@
     return !from.empty() && from != serverNameOf(server);
 }
 
-ErrorKind Gateway::judge(const Job& job, const ExchangeResult& result) const
+ErrorKind Gateway::classify(const Job& job, const ExchangeResult& result) const
 {
     if (result.error != ErrorKind::None)
         return result.error;
@@ -854,31 +855,31 @@
         return *job.failure;
     // The last try may surely not have run while an earlier one may have: the answer speaks for all of them, and
     // 503 would promise that nothing ran.
-    const ErrorKind told = job.maybeRan && answerFor(error).ran == Ran::No ? job.unknown : error;
-    logRequest(job, "request-refused", told, job.tried.empty() ? std::string_view() : job.tried.back());
-    return Refusals(m_metrics, RetryAfterForm::Fractions).make(told, retryAfter(job, error), job.maybeRan);
+    const ErrorKind answered = job.maybeRan && answerFor(error).ran == Ran::No ? job.uncertainError : error;
+    logRequest(job, "request-refused", answered, job.tried.empty() ? std::string_view() : job.tried.back());
+    return Refusals(m_metrics, RetryAfterForm::Fractions).make(answered, retryAfter(job, error), job.maybeRan);
 }
 
 Millis Gateway::retryAfter(const Job& job, ErrorKind error)
 {
-    constexpr Millis soon { 100 };
+    constexpr Millis minRetryAfter { 100 };
     switch (error) {
     case ErrorKind::Overloaded:
     case ErrorKind::DeadlineBeforeSend: {
         const Located at = locate(job);
-        return spread(std::max(soon, at.server ? at.server->pool.expectedWait(job.priority) : soon));
+        return spread(std::max(minRetryAfter, at.server ? at.server->pool.expectedWait(job.priority) : minRetryAfter));
     }
     case ErrorKind::Moving:
-        return spread(soon);
+        return spread(minRetryAfter);
     case ErrorKind::WarmingUp:
     case ErrorKind::ServerResting:
     case ErrorKind::ServerAtLimit: {
         // Those that come back then find the server ready, but shouldn't all come in its first moments.
-        constexpr Millis over { 500 };
+        constexpr Millis jitter { 500 };
         if (job.readyAt == Instant::max())
             return spread(m_options.moveWait);
-        const Millis left = job.readyAt - m_clock.now();
-        return std::max(soon, left) + randomBelow(over);
+        const Millis remaining = job.readyAt - m_clock.now();
+        return std::max(minRetryAfter, remaining) + randomBelow(jitter);
     }
     default:
         return spread(m_options.moveWait);
@@ -891,14 +892,15 @@
     constexpr double linesPerSecond = 100; // about 30 kB/s, and 1% of a small host's processor time
     constexpr double burst = 200;
     const Instant now = m_clock.now();
-    m_lines = std::min(burst, m_lines + linesPerSecond * static_cast<double>((now - m_linesCounted).count()) / 1000);
-    m_linesCounted = now;
-    if (m_lines < 1) {
-        ++m_linesLeftOut;
+    m_logTokens
+        = std::min(burst, m_logTokens + linesPerSecond * static_cast<double>((now - m_logTokensAt).count()) / 1000);
+    m_logTokensAt = now;
+    if (m_logTokens < 1) {
+        ++m_droppedLogLines;
         m_metrics.counter("log_lines_left_out").add();
         return false;
     }
-    m_lines -= 1;
+    m_logTokens -= 1;
     return true;
 }
 
@@ -923,12 +925,12 @@
     line["atServersMs"] = job.serverMicros / 1000;
     line["targetMs"] = (job.target - job.arrived).count();
     line["deadlineMs"] = (job.deadline - job.arrived).count();
-    line["serversAsOf"] = m_registeredAsOf;
+    line["serversAsOf"] = m_registeredRevision;
     line["rules"] = job.rules ? job.rules->version : 0;
     line["edition"] = table == m_tables.end() ? 0 : table->second->edition.edition;
     if (error == ErrorKind::Quarantined || mayHaveCrashedServer(error))
-        line["fingerprint"] = fingerprintText(fingerprintToTell(job));
-    line["leftOut"] = std::exchange(m_linesLeftOut, 0);
+        line["fingerprint"] = fingerprintText(relevantFingerprint(job));
+    line["leftOut"] = std::exchange(m_droppedLogLines, 0);
     logChange(LogLevel::Info, event, std::move(line));
 }
 
@@ -938,9 +940,9 @@
 {
     const Instant now = m_clock.now();
     GatewayReport report;
-    report.over = now - std::exchange(m_lastReport, now);
-    report.sharesSeen = m_sharesSeen;
-    report.heldBack = std::exchange(m_isHeldBack, false);
+    report.period = now - std::exchange(m_lastReport, now);
+    report.lastSharesNumber = m_lastSharesNumber;
+    report.urgent = std::exchange(m_reportIsUrgent, false);
     m_crashes.dropExpired(now);
     report.crashes = m_crashes.takeCrashes();
     report.answered = m_crashes.takeAnswered();
@@ -951,11 +953,11 @@
     }
     m_keyUse.clear();
     for (const auto& [id, server] : m_servers) {
-        if (server->saysLeaving() && !server->entry.leaving)
+        if (server->announcedLeaving() && !server->entry.leaving)
             report.leaving.push_back(id);
-        if (const auto said = server->rateToReport(now))
-            report.rates.push_back({ id, said->limit, said->at });
-        if (const auto use = server->takeUse(now, report.over))
+        if (const auto observation = server->limitToReport(now))
+            report.rates.push_back({ id, observation->limit, observation->at });
+        if (const auto use = server->takeUse(now, report.period))
             report.servers.emplace(id, *use);
         server->dropPermits(now);
         server->applyLimit(now);
@@ -966,18 +968,18 @@
 // A request waits for a permit, or a place at a crowded server is free for another host.
 void Gateway::reportEarly()
 {
-    m_isHeldBack = true;
-    m_heldBack.notifyAll();
+    m_reportIsUrgent = true;
+    m_urgentReport.notifyAll();
 }
 
 asio::awaitable<void> Gateway::reportLoop()
 {
     for (;;) {
-        if (!m_isHeldBack)
-            co_await m_heldBack.wait(reportEvery);
+        if (!m_reportIsUrgent)
+            co_await m_urgentReport.wait(reportInterval);
         const Millis since = m_clock.now() - m_lastReport;
-        if (since < shortestReport)
-            co_await sleepFor(shortestReport - since);
+        if (since < minReportInterval)
+            co_await sleepFor(minReportInterval - since);
         m_report(makeReport());
     }
 }
--- a/packages/gateway/Gateway.h
+++ b/packages/gateway/Gateway.h
@@ -58,7 +58,7 @@
     struct Located {
         ErrorKind error = ErrorKind::None;
         std::shared_ptr<Upstream> server;
-        bool soon = false; // the error passes within a move's time
+        bool worthWaiting = false; // the error passes within a move's time
         Instant readyAt = Instant::max(); // of a server that is warming up or rests: it takes requests then
     };
 
@@ -68,27 +68,28 @@
     ErrorKind prepare(Job&);
     Located locate(const Job&);
     Located locateKey(const Job&);
-    Located choose(const Job&);
-    Located chooseUnready(const Job&); // all servers are warming up, rest or are at their limits
+    Located chooseByLoad(const Job&);
+    Located chooseFallback(const Job&); // all servers are warming up, rest or are at their limits
     const std::vector<Fingerprint>& fingerprintsOf(const Job&) const;
-    Fingerprint fingerprintToTell(const Job&) const; // the quarantined one, if one is
+    Fingerprint relevantFingerprint(const Job&) const; // the quarantined one, if one is
     bool quarantined(const Job&) const;
     bool suspect(const Job&) const; // not to be sent a second time
-    void noteLostSend(const Job&, const std::shared_ptr<Upstream>&, ErrorKind);
-    void noteGone(const Upstream&, std::string_view why); // the requests that were there may have crashed it
-    boost::asio::awaitable<void> lookAfter(std::shared_ptr<Upstream>); // whether it still takes connections
-    std::pair<ErrorKind, Instant> whyUnready(const Upstream&, Instant now) const; // and until when; None: it is ready
+    void recordLostResponse(const Job&, const std::shared_ptr<Upstream>&, ErrorKind);
+    void recordServerGone(const Upstream&, std::string_view why); // the requests that were there may have crashed it
+    boost::asio::awaitable<void> checkReachable(std::shared_ptr<Upstream>); // whether it still takes connections
+    std::pair<ErrorKind, Instant> unreadyReason(
+        const Upstream&, Instant now) const; // and until when; None: it is ready
     // False: this host must wait for its turn, as the server is warming up or has named a limit.
     bool maySendTo(const Upstream&, Instant now) const;
     bool anyWarm(const std::string& service, Instant now) const;
     boost::asio::awaitable<CallerResponse> run(Job&);
     boost::asio::awaitable<ErrorKind> tryOnce(Job&, CallerResponse&);
     boost::asio::awaitable<ErrorKind> exchange(Job&, Upstream&, ConnectionPointer, CallerResponse&);
-    void takeNotice(const Job&, Upstream&, const BackendResponse&); // what a server says of itself in an answer
-    void noteRate(const Job&, Upstream&, std::optional<PerSecond>); // nothing: it names no limit any more
+    void applyNotice(const Job&, Upstream&, const BackendResponse&); // what a server says of itself in an answer
+    void applyAnnouncedLimit(const Job&, Upstream&, std::optional<PerSecond>); // nothing: it names no limit any more
     bool answeredByAnother(const ExchangeResult&, std::string_view server) const;
-    ErrorKind judge(const Job&, const ExchangeResult&) const; // what the server's answer means for the request
-    bool mayTryAgain(Job&, ErrorKind);
+    ErrorKind classify(const Job&, const ExchangeResult&) const; // what the server's answer means for the request
+    bool mayRetry(Job&, ErrorKind);
     CallerResponse refuse(const Job&, ErrorKind);
     Millis retryAfter(const Job&, ErrorKind);
     double retryBurst() const; // second sends that this host may have saved up
@@ -111,30 +112,30 @@
     Distribution& m_latency;
     Distribution& m_added;
     Counter& m_answered;
-    Counter& m_repeats;
+    Counter& m_retries;
 
     std::shared_ptr<const RouteRules> m_rules; // null until the first
-    std::shared_ptr<const ServerMap> m_registered;
-    int64_t m_registeredAsOf = 0; // change of the store
+    std::shared_ptr<const ServerMap> m_registeredServers;
+    int64_t m_registeredRevision = 0; // change of the store
     size_t m_hosts = 0; // that share the servers; 0: not known yet
     HostCount m_hostCount;
     HostCrashTracker m_crashes;
-    uint64_t m_sharesSeen = 0;
-    std::vector<std::string> m_shared; // servers of which this host has a share
+    uint64_t m_lastSharesNumber = 0;
+    std::vector<std::string> m_sharedServers; // servers of which this host has a share
     std::map<std::string, std::shared_ptr<const GrantTable>, std::less<>> m_tables; // by service
     std::map<std::string, std::shared_ptr<Upstream>, std::less<>> m_servers; // by id
     std::map<std::string, std::vector<std::shared_ptr<Upstream>>, std::less<>> m_byService;
     std::map<std::string, RetryBudget, std::less<>> m_budgets; // by service
     TrafficSplitter m_splits;
-    std::map<std::string, Millis, std::less<>> m_longestPatience; // of callers, by route
+    std::map<std::string, Millis, std::less<>> m_longestCallerTimeout; // of callers, by route
     std::map<std::string, std::unordered_map<uint32_t, uint64_t>> m_keyUse; // busy µs since the last report
-    double m_lines = 0; // that may be written at once
-    uint64_t m_linesLeftOut = 0; // since the last that was written
-    Instant m_linesCounted {};
+    double m_logTokens = 0; // that may be written at once
+    uint64_t m_droppedLogLines = 0; // since the last that was written
+    Instant m_logTokensAt {};
     Signal m_changed; // tables or servers
     Instant m_lastReport {};
-    Signal m_heldBack; // a request waits for a permit
-    bool m_isHeldBack = false; // since the last report
+    Signal m_urgentReport; // a request waits for a permit
+    bool m_reportIsUrgent = false; // since the last report
 };
 
 }
--- a/packages/gateway/GatewayControl.cpp
+++ b/packages/gateway/GatewayControl.cpp
@@ -240,11 +240,11 @@
 {
     // Means over the last report's time; uses of keys add up until they are sent.
     m_use.servers = std::move(report.servers);
-    m_use.sharesSeen = report.sharesSeen;
+    m_use.lastSharesNumber = report.lastSharesNumber;
     m_use.leaving = std::move(report.leaving);
     m_use.rates = std::move(report.rates);
-    m_isHeldBack |= report.heldBack;
-    if (report.heldBack)
+    m_isHeldBack |= report.urgent;
+    if (report.urgent)
         m_heldBack.notifyAll();
     m_use.crashes.insert(m_use.crashes.end(), report.crashes.begin(), report.crashes.end());
     m_use.answered.insert(m_use.answered.end(), report.answered.begin(), report.answered.end());
@@ -310,7 +310,7 @@
 // there, or more would be given for the same place.
 unsigned GatewayControl::permitsUnseen(const std::string& server) const
 {
-    if (!m_shares || m_use.sharesSeen >= m_shares->number)
+    if (!m_shares || m_use.lastSharesNumber >= m_shares->number)
         return 0;
     const auto advice = m_shares->servers.find(server);
     return advice == m_shares->servers.end() ? 0 : advice->second.permits;
@@ -377,14 +377,14 @@
 // A host that has no answer of a coordinator yet goes by the store.
 void GatewayControl::tellCrashes()
 {
-    CrashNews news { m_suspects, m_quarantined };
+    CrashUpdate news { m_suspects, m_quarantined };
     if (!m_reportedTerm) {
         for (const auto& request : m_view.quarantine())
             news.quarantined.insert(request.request);
     }
     if (m_crashNews && *m_crashNews == news)
         return;
-    m_crashNews = std::make_shared<const CrashNews>(std::move(news));
+    m_crashNews = std::make_shared<const CrashUpdate>(std::move(news));
     GatewayUpdate update;
     update.crashes = m_crashNews;
     push(std::move(update));
--- a/packages/gateway/GatewayControl.h
+++ b/packages/gateway/GatewayControl.h
@@ -79,7 +79,7 @@
     int64_t m_crashesEdition = 0; // of the two sets that follow
     std::set<Fingerprint> m_suspects; // as the coordinator said last
     std::set<Fingerprint> m_quarantined; // likewise
-    std::shared_ptr<const CrashNews> m_crashNews; // as the routing duty knows it; null: nothing yet
+    std::shared_ptr<const CrashUpdate> m_crashNews; // as the routing duty knows it; null: nothing yet
     std::vector<Fingerprint> m_released; // not told to the coordinator yet
     int64_t m_reportedTerm = 0; // of the coordinator that answered last
     Instant m_lastReport {};
--- a/packages/gateway/Messages.h
+++ b/packages/gateway/Messages.h
@@ -39,10 +39,10 @@
 };
 
 // What is known over all hosts of requests that crash servers.
-struct CrashNews {
+struct CrashUpdate {
     std::set<Fingerprint> suspects;
     std::set<Fingerprint> quarantined;
-    bool operator==(const CrashNews&) const = default;
+    bool operator==(const CrashUpdate&) const = default;
 };
 
 // Control to routing. Empty members mean "as before".
@@ -52,7 +52,7 @@
     int64_t serversAsOf = 0; // with `servers`: the newest change of others that the host knew of
     std::vector<std::shared_ptr<const GrantTable>> tables;
     std::shared_ptr<const HostShares> shares;
-    std::shared_ptr<const CrashNews> crashes;
+    std::shared_ptr<const CrashUpdate> crashes;
     bool newCoordinator = false; // it hasn't heard of what its predecessor was told
     std::vector<std::string> crowded; // servers to which nothing goes without a permit from now on
 };
@@ -73,7 +73,7 @@
 };
 
 // What a server said in an answer of the requests that it takes.
-struct SaidRate {
+struct AnnouncedLimit {
     std::string server;
     std::optional<PerSecond> limit; // nothing: it names none any more
     Instant at {};
@@ -81,15 +81,15 @@
 
 // Routing to control.
 struct GatewayReport {
-    Millis over { 0 };
+    Millis period { 0 };
     std::map<std::string, std::vector<KeyUse>> keys; // by service
     std::map<std::string, ServerUse> servers; // by id; idle ones are left out
-    uint64_t sharesSeen = 0; // number of the newest answer that the report knows of
-    bool heldBack = false; // a request waits for a permit
+    uint64_t lastSharesNumber = 0; // number of the newest answer that the report knows of
+    bool urgent = false; // a request waits for a permit
     std::vector<ServerCrash> crashes;
     std::vector<Fingerprint> answered; // of the suspects
     std::vector<std::string> leaving; // servers that say so in their answers and whose entries don't
-    std::vector<SaidRate> rates; // said lately
+    std::vector<AnnouncedLimit> rates; // said lately
 };
 
 }
--- a/packages/gateway/PlatformAdapter.h
+++ b/packages/gateway/PlatformAdapter.h
@@ -21,7 +21,7 @@
     std::string requestId; // of one try of a caller; servers echo it
     std::string timeLeft; // whole milliseconds that the caller goes on waiting
     std::string signature; // on what a server itself answered
-    std::string wantedServer; // the server that is meant; any other refuses with 421
+    std::string targetServer; // the server that is meant; any other refuses with 421
     std::string notExecuted; // on answers: the server did not run the request
     std::string server; // on answers: the server's name
     std::string key; // number of the request's key, in decimals
@@ -38,9 +38,9 @@
 };
 
 // The operators' document as far as this version understands it.
-struct RulesReading {
+struct ParsedRules {
     RouteRules rules;
-    std::vector<FieldFault> oddities; // one for each part that was left out or taken at its strictest
+    std::vector<FieldFault> problems; // one for each part that was left out or taken at its strictest
 };
 
 class PlatformAdapter {
@@ -57,7 +57,7 @@
     virtual std::string serverNameIn(std::string_view key) const = 0;
     virtual std::string dataCentreIn(std::string_view key) const = 0; // of an evacuation
     // Each fails with a FieldFault: rules that are no document at all, an entry that names no server to use.
-    virtual boost::leaf::result<RulesReading> parseRules(std::string_view text) const = 0;
+    virtual boost::leaf::result<ParsedRules> parseRules(std::string_view text) const = 0;
     virtual boost::leaf::result<RegisteredServer> parseServer(std::string_view name, std::string_view text) const = 0;
 
     // --- Orders to servers
--- a/packages/gateway/PlatformView.cpp
+++ b/packages/gateway/PlatformView.cpp
@@ -207,7 +207,7 @@
     if (value.modRevision <= m_rulesRevision)
         return;
     m_rulesRevision = value.modRevision;
-    RulesReading reading;
+    ParsedRules reading;
     const auto fault = faultIn([&]() -> boost::leaf::result<void> {
         BOOST_LEAF_ASSIGN(reading, m_adapter.parseRules(value.value));
         return {};
@@ -219,7 +219,7 @@
     RouteRules& rules = reading.rules;
     if (m_rules && rules.version <= m_rules->version)
         return;
-    logOddities(reading.oddities, rules.version);
+    logOddities(reading.problems, rules.version);
     logChange(LogLevel::Info, "rules-in-force",
         { { "version", rules.version }, { "revision", value.modRevision }, { "routes", rules.routeCount() } });
     m_rules = std::make_shared<const RouteRules>(std::move(rules));
--- a/packages/gateway/ServerShares.cpp
+++ b/packages/gateway/ServerShares.cpp
@@ -13,40 +13,40 @@
     constexpr double centi = 100;
     // A few keys are hot at a time. When much of a deployment is overloaded at once, permits for all of it cost the
     // hosts and the coordinator more than they save.
-    constexpr size_t crowdedAtOnce = 6;
+    constexpr size_t maxCrowdedServers = 6;
 
-    unsigned countIn(int32_t told) { return static_cast<unsigned>(std::max(0, told)); }
+    unsigned nonNegative(int32_t count) { return static_cast<unsigned>(std::max(0, count)); }
 
     Demand demandIn(const wire::ServerUse& use)
     {
         Demand demand;
         demand.inFlight = use.inFlightCenti / centi;
         demand.waiting = use.waitingCenti / centi;
-        demand.present = countIn(use.present);
-        demand.waitingNow = countIn(use.waitingNow);
-        demand.overdue = countIn(use.overdue);
+        demand.present = nonNegative(use.present);
+        demand.waitingNow = nonNegative(use.waitingNow);
+        demand.overdue = nonNegative(use.overdue);
         demand.answered = use.workMicros > 0;
         return demand;
     }
 
 }
 
-ServerShares::ServerShares(ShareOptions options, double usualWorkMillis)
+ServerShares::ServerShares(ShareOptions options, double defaultWorkMillis)
     : m_options(options)
-    , m_usualWorkMillis(usualWorkMillis)
+    , m_defaultWorkMillis(defaultWorkMillis)
 {
 }
 
 ServerShares::State& ServerShares::stateOf(const std::string& server)
 {
     State& state = m_servers.try_emplace(server, m_options).first->second;
-    state.demand.setReportInterval(m_reportEvery);
+    state.demand.setReportInterval(m_reportInterval);
     return state;
 }
 
-double ServerShares::workOrUsual(const State& state) const
+double ServerShares::workOrDefault(const State& state) const
 {
-    return state.workMillis > 0 ? state.workMillis : m_usualWorkMillis;
+    return state.workMillis > 0 ? state.workMillis : m_defaultWorkMillis;
 }
 
 // --- From reports
@@ -59,10 +59,10 @@
         return;
     // What is at the server beyond its slots waits there: by Little's law that part of the time is no work.
     // Taken for work, it made servers under load look slow, and their keys moved away for it.
-    constexpr double newest = 0.1;
+    constexpr double smoothing = 0.1;
     const double working = std::min(1.0, slots / std::max(1.0, state.demand.inFlight(now)));
     const double work = working * use.workMicros / 1000.0;
-    state.workMillis += (state.workMillis > 0 ? newest : 1) * (work - state.workMillis);
+    state.workMillis += (state.workMillis > 0 ? smoothing : 1) * (work - state.workMillis);
 }
 
 void ServerShares::forget(std::string_view host)
@@ -81,7 +81,7 @@
 void ServerShares::setHosts(size_t hosts, Millis interval)
 {
     m_hosts = hosts;
-    m_reportEvery = interval;
+    m_reportInterval = interval;
 }
 
 // --- Answers
@@ -96,12 +96,12 @@
         const unsigned waiting = state.demand.waitingHosts(now);
         unsigned ahead = !keyed && !waiting;
         if (m_rates.hasSpare(server, now))
-            ahead = std::max(ahead, state.demand.expectedRequests(host, workOrUsual(state), now));
+            ahead = std::max(ahead, state.demand.expectedRequests(host, workOrDefault(state), now));
         const unsigned wanted = state.demand.permitsWanted(host, slots, ahead, now);
         const unsigned permits = m_rates.takePermits(server, wanted, now);
         state.demand.givePermits(host, permits);
         const Millis pause = std::max(
-            state.demand.permitInterval(slots, workOrUsual(state), now), m_rates.permitInterval(server, waiting));
+            state.demand.permitInterval(slots, workOrDefault(state), now), m_rates.permitInterval(server, waiting));
         share.crowded = true;
         share.permits = static_cast<int32_t>(permits);
         share.pauseMillis = static_cast<int32_t>(pause.count());
@@ -110,7 +110,7 @@
     if (crowded(server, state, slots, now)) {
         share.crowded = true;
         share.permits = static_cast<int32_t>(state.demand.takePermits(host, slots, now));
-        share.pauseMillis = static_cast<int32_t>(state.demand.permitInterval(slots, workOrUsual(state), now).count());
+        share.pauseMillis = static_cast<int32_t>(state.demand.permitInterval(slots, workOrDefault(state), now).count());
         return share;
     }
     if (!state.demand.underPressure(slots, now))
@@ -134,7 +134,7 @@
     // after six such no server got permits any more until the office ended. Hosts believe in a crowd as long.
     std::erase_if(
         m_crowded, [&](const auto& entry) { return now - entry.second > ServerLimitOptions {}.crowdedTimeout; });
-    return hostsExceedQueue(m_hosts, slots) && (m_crowded.count(server) || m_crowded.size() < crowdedAtOnce);
+    return hostsExceedQueue(m_hosts, slots) && (m_crowded.count(server) || m_crowded.size() < maxCrowdedServers);
 }
 
 bool ServerShares::crowded(const std::string& server, State& state, unsigned slots, Instant now)
@@ -150,7 +150,7 @@
 bool ServerShares::expectCrowd(const std::string& server, unsigned slots, double busyMillis, Instant now)
 {
     State& state = stateOf(server);
-    const double asked = busyMillis / 1000 * workOrUsual(state) / m_usualWorkMillis; // requests at once
+    const double asked = busyMillis / 1000 * workOrDefault(state) / m_defaultWorkMillis; // requests at once
     if (asked < m_options.crowdedInFlightPerSlot * slots || !mayBeCrowded(server, slots, now))
         return false;
     state.demand.expectCrowd(now);
@@ -159,19 +159,19 @@
 }
 
 // Also the hosts that have nothing there: each of them may send the next request.
-std::vector<std::string> ServerShares::toTell(std::span<const std::string> crowded, Instant now)
+std::vector<std::string> ServerShares::crowdsToAnnounce(std::span<const std::string> crowded, Instant now)
 {
-    constexpr Millis again { 800 }; // hosts believe it for 2 s, and a message may be lost
-    constexpr Millis over { 3'000 }; // not told for so long: another crowd
+    constexpr Millis repeatInterval { 800 }; // hosts believe it for 2 s, and a message may be lost
+    constexpr Millis newCrowdAfter { 3'000 }; // not told for so long: another crowd
     std::vector<std::string> servers;
     for (const auto& server : crowded) {
         State& state = stateOf(server);
-        const Millis since = now - state.crowdTold;
-        if (since < again)
+        const Millis since = now - state.crowdAnnouncedAt;
+        if (since < repeatInterval)
             continue;
-        if (since > over)
+        if (since > newCrowdAfter)
             logChange(LogLevel::Info, "server-crowded", { { "server", server }, { "workMs", state.workMillis } });
-        state.crowdTold = now;
+        state.crowdAnnouncedAt = now;
         servers.push_back(server);
     }
     return servers;
--- a/packages/gateway/ServerShares.h
+++ b/packages/gateway/ServerShares.h
@@ -18,8 +18,8 @@
 
 class ServerShares {
 public:
-    // `usualWorkMillis`: of one request, at a server of which nothing is known.
-    ServerShares(ShareOptions, double usualWorkMillis);
+    // `defaultWorkMillis`: of one request, at a server of which nothing is known.
+    ServerShares(ShareOptions, double defaultWorkMillis);
 
     // --- From reports
     void setHosts(size_t hosts, Millis interval); // that report, each once in `interval`
@@ -42,7 +42,8 @@
     // A key that crowds its server moves to this one. `busyMillis`: of usual work a second that it asks for. False:
     // that is no crowd there.
     bool expectCrowd(const std::string& server, unsigned slots, double busyMillis, Instant now);
-    std::vector<std::string> toTell(std::span<const std::string> crowded, Instant now); // which all hosts must hear of
+    std::vector<std::string> crowdsToAnnounce(
+        std::span<const std::string> crowded, Instant now); // which all hosts must hear of
 
 private:
     struct State {
@@ -53,18 +54,18 @@
 
         SlotDemand demand;
         double workMillis = 0; // 0: not known
-        Instant crowdTold {};
+        Instant crowdAnnouncedAt {};
     };
 
     State& stateOf(const std::string& server);
     bool crowded(const std::string& server, State&, unsigned slots, Instant now);
     bool mayBeCrowded(const std::string& server, unsigned slots, Instant now);
-    double workOrUsual(const State&) const;
+    double workOrDefault(const State&) const;
 
     ShareOptions m_options;
-    double m_usualWorkMillis;
+    double m_defaultWorkMillis;
     size_t m_hosts = 0;
-    Millis m_reportEvery { 250 };
+    Millis m_reportInterval { 250 };
     // Servers to which nothing goes without a permit, and when a report last said so.
     std::map<std::string, Instant, std::less<>> m_crowded;
     std::map<std::string, State, std::less<>> m_servers;
--- a/packages/gateway/Upstream.cpp
+++ b/packages/gateway/Upstream.cpp
@@ -13,11 +13,11 @@
     // Keep-alive probes (web/Sockets.cpp) end a connection that went silent within about three seconds, so one that
     // has been idle for longer is as good as a young one; a new one costs the server a handshake.
     constexpr Millis trustIdle { 8'000 };
-    constexpr unsigned failuresUntilPause = 2; // one may be an accident of one connection
-    constexpr Millis shortestPause { 200 };
-    constexpr Millis longestPause { 2'000 };
+    constexpr unsigned failuresUntilBackoff = 2; // one may be an accident of one connection
+    constexpr Millis minBackoff { 200 };
+    constexpr Millis maxBackoff { 2'000 };
     // A permit that comes ahead of requests, until the next one may have come.
-    constexpr Millis permitsLast { 1'000 };
+    constexpr Millis permitLifetime { 1'000 };
 
     ServerResource resourceOf(const RegisteredServer& entry, const RoutedService* service)
     {
@@ -40,7 +40,7 @@
     : entry(registered)
     , pool(
           std::move(executor), clock, resourceOf(registered, service), {}, std::make_unique<DeadlineQueue>(), trustIdle)
-    , m_turns(static_cast<double>(randomNumber()) / static_cast<double>(std::numeric_limits<uint64_t>::max()))
+    , m_localLimiter(static_cast<double>(randomNumber()) / static_cast<double>(std::numeric_limits<uint64_t>::max()))
 {
 }
 
@@ -50,34 +50,34 @@
         leavingSince = now;
     if (registered.evacuated && !entry.evacuated)
         evacuatedSince = now;
-    const bool wasOpen = !withdrawn() && !warmingUp(now);
+    const bool wasOpen = !draining() && !warmingUp(now);
     entry = registered;
     if (service)
         m_warmUp = service->warmUp;
-    if (wasOpen && (withdrawn() || warmingUp(now)))
+    if (wasOpen && (draining() || warmingUp(now)))
         pool.evictQueue(); // what waits here looks for another server, or for the keys' next owner
     pool.update(resourceOf(registered, service), hosts);
     m_limit.setSlotsAndHosts(registered.slots, hosts);
     applyLimit(now);
 }
 
-void Upstream::sayLeaving(Instant now)
+void Upstream::setAnnouncedLeaving(Instant now)
 {
-    if (saysLeaving())
+    if (announcedLeaving())
         return;
-    m_saysLeavingSince = now;
+    m_announcedLeavingSince = now;
     pool.evictQueue();
 }
 
-void Upstream::askForRest(Instant until)
+void Upstream::backOffUntil(Instant until)
 {
-    m_restUntil = std::max(m_restUntil, until);
+    m_backoffEnd = std::max(m_backoffEnd, until);
     pool.evictQueue();
 }
 
 // --- Limits
 
-void Upstream::advise(const ServerAdvice& advice, Instant now)
+void Upstream::applyAdvice(const ServerAdvice& advice, Instant now)
 {
     switch (advice.kind) {
     case ServerAdvice::Kind::Room:
@@ -89,9 +89,9 @@
     case ServerAdvice::Kind::Permits:
         if (!rateLimit())
             m_limit.setCrowded(now);
-        m_permitPause = advice.permitInterval;
-        m_mayAskFrom = now + m_permitPause;
-        m_permitsUntil = now + permitsLast;
+        m_permitInterval = advice.permitInterval;
+        m_askPermitFrom = now + m_permitInterval;
+        m_permitsUntil = now + permitLifetime;
         if (needsPermit(now))
             setPermits(advice.permits);
         break;
@@ -110,7 +110,7 @@
 void Upstream::setPermits(std::optional<unsigned> permits)
 {
     m_hasPermits = permits.has_value();
-    pool.setPermits(permits, permits ? m_permitPause : Millis(0));
+    pool.setPermits(permits, permits ? m_permitInterval : Millis(0));
 }
 
 void Upstream::applyLimit(Instant now)
@@ -119,9 +119,9 @@
     const bool lapsed = !crowded(now) && now >= m_permitsUntil && pool.admission().permits();
     // Where requests are refused for the pause, none waits and no report tells of it: after the pause one may ask
     // again.
-    const bool mayAsk = needs && rateLimit() && m_permitPause > Millis(0) && now >= m_mayAskFrom;
+    const bool mayAsk = needs && rateLimit() && m_permitInterval > Millis(0) && now >= m_askPermitFrom;
     if (mayAsk)
-        m_permitPause = Millis(0);
+        m_permitInterval = Millis(0);
     if (needs != m_hasPermits || (needs && lapsed))
         setPermits(needs ? std::optional(0U) : std::nullopt);
     else if (mayAsk)
@@ -132,7 +132,7 @@
 
 Instant Upstream::nextPermit(Instant now) const
 {
-    return now + m_permitPause * static_cast<int64_t>(pool.admission().queued() + 1);
+    return now + m_permitInterval * static_cast<int64_t>(pool.admission().queued() + 1);
 }
 
 void Upstream::clearShare(Instant now)
@@ -147,7 +147,7 @@
         setPermits(0);
 }
 
-void Upstream::sayRate(std::optional<PerSecond> limit, Instant now)
+void Upstream::setLimitFromServer(std::optional<PerSecond> limit, Instant now)
 {
     const bool limited = rateLimit().has_value();
     m_rate.heardFromServer(limit, now);
@@ -155,10 +155,10 @@
         applyRate(now);
 }
 
-void Upstream::tellRate(std::optional<PerSecond> limit, size_t hosts, Instant now)
+void Upstream::setLimitFromCoordinator(std::optional<PerSecond> limit, size_t hosts, Instant now)
 {
     const bool limited = rateLimit().has_value();
-    m_sharers = hosts;
+    m_sharingHosts = hosts;
     m_rate.heardFromCoordinator(limit, now);
     if (limited || rateLimit())
         applyRate(now);
@@ -166,37 +166,37 @@
 
 void Upstream::applyRate(Instant now)
 {
-    if (rateLimit() && m_sharers)
-        m_turns.setLimit(uncoordinatedFraction * *rateLimit(), m_sharers, now);
+    if (rateLimit() && m_sharingHosts)
+        m_localLimiter.setLimit(uncoordinatedFraction * *rateLimit(), m_sharingHosts, now);
     applyLimit(now);
 }
 
-void Upstream::takeTurn(Instant now)
+void Upstream::recordLocalSend(Instant now)
 {
-    if (takesTurns(now))
-        m_turns.recordSend(now);
+    if (usesLocalLimiter(now))
+        m_localLimiter.recordSend(now);
 }
 
 // --- Health, use
 
-void Upstream::failed(Instant now)
+void Upstream::recordFailure(Instant now)
 {
-    if (++failures < failuresUntilPause)
+    if (++failures < failuresUntilBackoff)
         return;
-    const auto doublings = std::min(failures - failuresUntilPause, 4U);
-    failingUntil = now + std::min(longestPause, shortestPause * (1 << doublings));
+    const auto doublings = std::min(failures - failuresUntilBackoff, 4U);
+    failingUntil = now + std::min(maxBackoff, minBackoff * (1 << doublings));
 }
 
-bool Upstream::connected(Instant now)
+bool Upstream::recordConnected(Instant now)
 {
     // A server writes its entry as soon as it has started, and the news of it take half a second at the most.
-    constexpr Millis entryWithin { 700 };
+    constexpr Millis entryDelay { 700 };
     if (std::exchange(m_connectFailed, false) && m_warmUp.isSet())
-        m_heldOffUntil = now + entryWithin;
-    return now >= m_heldOffUntil;
+        m_reconnectHoldUntil = now + entryDelay;
+    return now >= m_reconnectHoldUntil;
 }
 
-void Upstream::count(Instant now)
+void Upstream::accumulateUse(Instant now)
 {
     const double passed = static_cast<double>((now - m_countedAt).count());
     m_countedAt = now;
@@ -204,16 +204,16 @@
     m_waitingMillis += passed * static_cast<double>(pool.admission().queued());
 }
 
-void Upstream::countWork(Millis took)
+void Upstream::recordWork(Millis took)
 {
     m_workMillis += took.count();
     ++m_workCount;
 }
 
-std::optional<ServerUse> Upstream::takeUse(Instant now, Millis over)
+std::optional<ServerUse> Upstream::takeUse(Instant now, Millis period)
 {
-    count(now);
-    const double time = static_cast<double>(std::max<int64_t>(1, over.count()));
+    accumulateUse(now);
+    const double time = static_cast<double>(std::max<int64_t>(1, period.count()));
     ServerUse use;
     use.inFlight = std::exchange(m_busyMillis, 0) / time;
     use.waiting = std::exchange(m_waitingMillis, 0) / time;
@@ -221,10 +221,10 @@
         use.meanWork = Millis(std::exchange(m_workMillis, 0) / std::exchange(m_workCount, 0));
     use.present = pool.admission().inFlight();
     use.waitingNow = static_cast<unsigned>(pool.admission().queued());
-    use.overdue = static_cast<unsigned>(std::distance(overdueFrom.begin(), overdueFrom.lower_bound(now)));
+    use.overdue = static_cast<unsigned>(std::distance(overdueTimes.begin(), overdueTimes.lower_bound(now)));
     const bool inUse = use.inFlight > 0 || use.waiting > 0 || use.present || use.waitingNow;
-    const bool tell = inUse || (m_told && needsPermit(now));
-    m_told = inUse;
+    const bool tell = inUse || (m_inLastReport && needsPermit(now));
+    m_inLastReport = inUse;
     if (!tell)
         return std::nullopt;
     return use;
