--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -21,40 +21,42 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-// Sections: state, from control, requests, where to, one try, answers, reports.
+// Sections: state, from control, requests, choice of the server, one attempt, requests that crash servers, responses,
+// reports.
 
 // --- State
 
 namespace {
 
     constexpr Millis reportInterval { 250 };
-    // A request that waits for a permit is told at once, but for this time since the last report: many wait while a key
-    // is hot.
+    // A request that waits for a permit is reported at once, but not sooner after the last report than this: many
+    // requests wait while a key is hot.
     constexpr Millis minReportInterval { 100 };
-    // A request without an answer for so many times the usual work has most likely met a full server that hangs. While
-    // the server answers others, it no longer counts as being there.
+    // A request is overdue after this many times the usual duration: it was most likely lost in a full server. While
+    // the server answers other requests, overdue ones don't count as being at the server.
     constexpr int overdueFactor = 4;
-    // The budget of second sends is shared by all hosts; each spends its own requests' part of the ratio and an even
-    // part of the slack. Three quarters of it: hosts come and go, and how many there are is known late.
+    // The retry budget is shared by all hosts: each uses the ratio for its own requests, and an even part of the slack.
+    // Only three quarters of the budget are used, because the number of hosts changes and is known with a delay.
     constexpr double budgetFraction = 0.75;
-    constexpr Millis retryPause { 4 }; // at least, and up to as much again
-    // For what is left of the time until a leaving server must get nothing new: a host learns of it up to 0.6 s late (a
-    // look of the coordinator at the store, a message lost and repeated with the next report), and the way and the wait
-    // for a connection take 0.3 s.
+    constexpr Millis retryPause { 4 }; // minimum, with jitter of up to as much again
+    // Subtracted from the time until a leaving server must get no new requests. A host learns of the shutdown with a
+    // delay of up to 0.6 s (the coordinator's read of the store, and a message that is lost and repeated with the next
+    // report), and the transfer and the wait for a connection take 0.3 s.
     constexpr Millis leaveMargin { 1'000 };
-    // The same, where the server itself told this host: the way and the wait for a connection only.
+    // The same where the server itself told this host: covers only the transfer and the wait for a connection.
     constexpr Millis announcedLeaveMargin { 250 };
-    // Of a request to this host and of its answer back. Callers are about 8 ms away; a new connection takes another
-    // turn.
+    // For a request's way to this host and the response's way back. Callers are about 8 ms away; a new connection takes
+    // another round trip.
     constexpr Millis callerRoundTrip { 25 };
-    constexpr Millis keyRefusalPause { 150 }; // for the news of a key's move to come
-    constexpr Millis keyRefusalDuration { 300 }; // a server that was asked for a key which it doesn't hold
+    // After a server refused a key, for the message about the key's move to arrive.
+    constexpr Millis keyRefusalPause { 150 };
+    constexpr Millis keyRefusalDuration { 300 }; // how long a server that refused a key is expected to refuse its keys
     constexpr unsigned misdirected = 421; // RFC 9110, section 15.5.20
-    constexpr Millis defaultWork { 100 }; // guess for a route's work until one has ended
+    constexpr Millis defaultWork { 100 }; // assumed work of a keyed request, for the load of its key
 
     PriorityClass classOf(const HostRoute& route)
     {
-        // An answer that is of full use only within a second or less is waited for by somebody.
+        // A target latency of a second or less means that a person waits for the response.
         constexpr Millis patient { 1'000 };
         switch (route.retryPolicy) {
         case RetryPolicy::AtMostOnce:
@@ -68,7 +70,7 @@
         return PriorityClass::Background;
     }
 
-    // The request was sent and got no answer.
+    // True if the request was sent and got no response.
     bool mayHaveCrashedServer(ErrorKind error)
     {
         return error == ErrorKind::ConnectionLost || error == ErrorKind::DeadlineAfterSend;
@@ -103,23 +105,23 @@
     bool keyed = false;
     uint32_t key = 0;
     PriorityClass priority = PriorityClass::Background;
-    std::string id; // as the caller gave it
+    std::string id; // from the caller
     Instant arrived {};
-    Instant target {}; // an answer by then is of full use; counted from the caller's first try
+    Instant target {}; // target latency, counted from the caller's first attempt
     Instant callerDeadline {};
-    Instant deadline {}; // the caller's or the route's, whichever is first
-    bool waited = false; // for an owner, as long as is worth it
-    Instant readyAt = Instant::max(); // of the server that takes no requests now, and that it was refused for
+    Instant deadline {}; // the earlier of the caller's and the route's
+    bool waited = false; // has waited for the key's owner, or waiting is not worthwhile
+    Instant readyAt = Instant::max(); // when the server that is the reason for a refusal accepts requests again
     int64_t arrivedMicros = 0;
     int64_t serverMicros = 0; // time spent in exchanges
     unsigned sends = 0;
-    unsigned share = 0; // of the last server's slots, as this host had it
-    bool crowded = false; // the last server got nothing without a permit
-    bool maybeRan = false; // an earlier try may have run
-    ErrorKind uncertainError = ErrorKind::None; // how the try ended of which that isn't known
+    unsigned share = 0; // this host's limit for the last server
+    bool crowded = false; // the last server needed permits
+    bool maybeRan = false; // an earlier attempt may have run
+    ErrorKind uncertainError = ErrorKind::None; // of the last attempt that may have run
     std::vector<std::string> tried; // server ids
-    mutable std::vector<Fingerprint> fingerprints; // of the whole request first; empty until they are needed
-    std::optional<CallerResponse> failure; // a server's own failure, delivered if no other try does better
+    mutable std::vector<Fingerprint> fingerprints; // the whole request's first; computed on demand
+    std::optional<CallerResponse> failure; // a server's 5xx response, returned if no other attempt succeeds
 };
 
 Gateway::Gateway(asio::any_io_executor executor, const Clock& clock, const PlatformAdapter& adapter,
@@ -233,7 +235,7 @@
     }
 }
 
-// What waits for a server whose key has moved away would only be refused there.
+// Requests that wait for a server from which their key has moved away would only be refused there.
 void Gateway::evictMoved(const GrantTable& before, const GrantTable& after)
 {
     for (const auto& range : after.ranges) {
@@ -253,7 +255,7 @@
         if (!gone)
             return false;
         entry.second->pool.evictQueue();
-        recordServerGone(*entry.second, "its entry was removed");
+        recordServerGone(*entry.second, "the server's entry was removed");
         return true;
     });
     m_byService.clear();
@@ -295,7 +297,7 @@
 
 double Gateway::retryBurst() const
 {
-    // Until a coordinator has said how many hosts there are, hardly any.
+    // Minimal until a coordinator has reported the number of hosts.
     if (!m_hosts)
         return 1;
     return std::max(1.0, budgetFraction * m_options.settings.retrySlack / static_cast<double>(m_hosts));
@@ -316,15 +318,15 @@
     const Millis patience = timeLeft ? Millis(timeLeft) : job.route->timeout;
     job.callerDeadline = job.arrived + patience;
     job.deadline = std::min(job.callerDeadline - callerRoundTrip, job.arrived + job.route->timeout);
-    // A caller that comes back says less time left than one that asks for the first time: by that much its target is
-    // nearer.
+    // A caller that retries sends less remaining time than in its first attempt. The target is earlier by the
+    // difference to the longest time seen on this route.
     Millis& longest = m_longestCallerTimeout[job.route->name];
     longest = std::max(longest, patience);
     job.target = job.arrived + job.route->target - (longest - patience) - callerRoundTrip;
     job.service = m_splits.next(*job.route);
     const RoutedService* service = m_rules->service(job.service);
     job.keyed = service && service->keyed;
-    // A request without a key may run wherever its key would be: any one does.
+    // A request without a key may run on any server, so it gets a random key.
     job.key = static_cast<uint32_t>(numberIn(request[m_names.key], randomNumber()) % numberedKeys);
     stripForServer(request);
     budgetOf(job.service).deposit();
@@ -364,7 +366,7 @@
         if (job.presence.gone || !mayRetry(job, error))
             co_return refuse(job, error);
         if (job.sends)
-            co_await sleepFor(spread(retryPause)); // many that failed together don't come back together
+            co_await sleepFor(spread(retryPause)); // spread the retries of requests that failed together
     }
 }
 
@@ -376,10 +378,10 @@
         return false;
     if (job.maybeRan && !job.route->idempotent())
         return false;
-    // The server that went away with it may not have gone by chance: the next one is not put at risk.
+    // This request may have crashed its last server: don't risk another one.
     if (job.sends && suspect(job))
         return false;
-    // Waiting for an owner, or for a connection, is no send: only what reached for a server spends the budget.
+    // Only requests that were sent to a server spend the retry budget, not waits for a key's owner or a connection.
     if (error == ErrorKind::OwnerChanged)
         return true;
     if (error == ErrorKind::Moving || error == ErrorKind::NoOwner || error == ErrorKind::WarmingUp)
@@ -389,11 +391,11 @@
     if (job.sends >= job.route->maxAttempts || !budgetOf(job.service).tryWithdraw())
         return false;
     m_retries.add();
-    logRequest(job, "request-again", error, job.tried.empty() ? std::string_view() : job.tried.back());
+    logRequest(job, "request-retried", error, job.tried.empty() ? std::string_view() : job.tried.back());
     return true;
 }
 
-// --- Where to
+// --- Choice of the server
 
 Gateway::Located Gateway::locate(const Job& job) { return job.keyed ? locateKey(job) : chooseByLoad(job); }
 
@@ -412,7 +414,8 @@
     const auto& upstream = server->second;
     if (upstream->replaced)
         return { ErrorKind::NoOwner, nullptr, false };
-    // Its keys are about to move; should that take long, nothing new may reach it in the end.
+    // The keys of a leaving or evacuated server are about to move. If that takes too long, the server must get no new
+    // requests after its time limit.
     const Instant now = m_clock.now();
     const auto overdue = [&](Instant since, Millis within) { return now - since > within - leaveMargin; };
     const bool leaving = upstream->entry.leaving && overdue(upstream->leavingSince, m_options.settings.leaveWithin);
@@ -428,7 +431,7 @@
         return { ErrorKind::ServerResting, nullptr, false, upstream->backoffEnd() };
     if (upstream->isLocallyLimited(now))
         return { ErrorKind::ServerAtLimit, nullptr, false, upstream->nextLocalSend(now) };
-    // Its keys move to a server that is warm.
+    // The keys of a server that is warming up move to a warm one, if there is any.
     if (!maySendTo(*upstream, now))
         return { ErrorKind::WarmingUp, nullptr, anyWarm(job.service, now), upstream->warmupEnd() };
     return { ErrorKind::None, upstream };
@@ -453,12 +456,13 @@
         candidate.waiting = static_cast<unsigned>(admission.queued());
         candidate.limit = admission.limit();
         candidate.workMillis = static_cast<double>(admission.meanWork(job.priority).count());
-        // Its permit lapses if it is not used, and only an answer tells when the limit is over.
+        // Prefer a server with a rate limit: an unused permit expires, and only a response shows the end of the limit.
         if (server->rateLimit())
             candidate.workMillis = 0;
         candidates.push_back(candidate);
     }
-    // Bytes between data centres cost more than a little waiting: a large body stays near unless all near are full.
+    // Traffic between data centres costs more than a short wait: a large body stays in its data centre unless all
+    // servers there are full.
     constexpr size_t largeBody = 16'384;
     constexpr double farForLarge = 3;
     constexpr double farForSmall = 1.4;
@@ -521,7 +525,7 @@
             [&](const auto& server) { return !server->outOfUse() && !server->warmingUp(now); });
 }
 
-// --- One try
+// --- One attempt
 
 asio::awaitable<ErrorKind> Gateway::tryOnce(Job& job, CallerResponse& response)
 {
@@ -530,7 +534,7 @@
         job.readyAt = at.readyAt;
         const Instant until = std::min({ job.deadline, job.arrived + m_options.moveWait, at.readyAt });
         const Instant now = m_clock.now();
-        // What takes longer than a move is refused at once: waiting would only use up the caller's time.
+        // If the error will last longer than a move, refuse at once: waiting would only use up the caller's time.
         job.waited = !at.worthWaiting || now >= until;
         if (!job.waited)
             co_await m_changed.wait(until - now);
@@ -569,15 +573,16 @@
         logRequest(job, "server-unreachable", ErrorKind::ServerUnreachable, server->entry.id);
         co_return ErrorKind::ServerUnreachable;
     }
-    // The wait for a slot or a connection may have outlived the table, the server or the caller.
+    // During the wait for a slot or a connection the table or the server may have changed, or the caller may have gone.
     const Instant connectedAt = m_clock.now();
     const bool closed = server->outOfUse() || server->backingOff(connectedAt) || !m_servers.count(server->entry.id);
     const bool moved = job.keyed ? locate(job).server != server : closed;
     const Millis leastTime = server->pool.admission().meanWork(job.priority) / 2;
     const bool late = connectedAt + leastTime >= job.deadline;
-    // One that started anew holds no keys, and refuses them until its entry is known.
+    // Keyed services need no check: a restarted server holds no keys, and refuses requests for them until its entry is
+    // known.
     const bool restarted = !job.keyed && !server->recordConnected(connectedAt);
-    // It has named a limit since this request was let through without a permit.
+    // The server has announced a rate limit since this request was admitted without a permit.
     const bool needsPermit = !job.crowded && server->rateLimit() && server->needsPermit(connectedAt);
     const bool mustWait = restarted || needsPermit || !maySendTo(*server, connectedAt);
     if (moved || mustWait || late || job.presence.gone) {
@@ -628,8 +633,8 @@
         held->recordSuccess();
         held->recordWork(took);
     } else if (!job.presence.gone) {
-        // Also one that refuses because it is full: it answers at once and has measured no work, so that it would look
-        // like the quickest of all and be asked again and again, most of all while servers are replaced.
+        // Refusals by a full server count as failures, too. Such a server answers at once and has no measured work, so
+        // it would look like the fastest one and be chosen again and again, especially while servers are replaced.
         held->recordFailure(endedAt);
     }
     if (result.error == ErrorKind::None && !answeredByAnother(result, id))
@@ -637,7 +642,7 @@
     if (error == ErrorKind::ServerRefused && answeredByAnother(result, id)) {
         held->replaced = true;
         logRequest(job, "server-replaced", error, id);
-        recordServerGone(*held, "another server has its address");
+        recordServerGone(*held, "another server answers at its address");
     }
     if (!result.ended)
         held->pool.giveBack(std::move(connection));
@@ -655,8 +660,8 @@
             job.uncertainError = error;
         }
         logRequest(job, "send-failed", error, id);
-        // Its key is held by another server by now, or will be; or it was full: asked again at once it would refuse
-        // again, and each send spends the budget of all.
+        // Either the key has moved or is moving to another server, or this server was full. If retried at once, the
+        // server would refuse again, and each retry spends the budget that all hosts share.
         if (error == ErrorKind::ServerRefused && job.keyed && held->backingOff(endedAt)) {
             job.readyAt = held->backoffEnd();
             co_return ErrorKind::ServerResting;
@@ -668,7 +673,7 @@
     response = std::move(result.response);
     stripForCaller(response);
     constexpr unsigned firstFailure = 500;
-    // A server's own failure of a request that may be repeated: another server may do better.
+    // The server failed to run an idempotent request: another server may succeed.
     if (response.result_int() >= firstFailure && job.route->idempotent() && job.sends < job.route->maxAttempts) {
         held->recordFailure(endedAt);
         job.maybeRan = true;
@@ -681,9 +686,9 @@
 
 // --- Requests that crash servers
 
-// Of what is the same each time that it comes: not its id, the time that is left, nor the caller's address, which
-// changes with the proxy or the connection that it comes through. What crashes servers may lie in the path alone,
-// whatever the query says, or in both.
+// Fingerprints cover what stays the same when a request is repeated. They exclude the id, the time left and the
+// caller's address, which changes with the proxy or the connection. The cause of a crash may be the path alone, with
+// any query, or path and query together: a target with a query has a fingerprint for each case.
 const std::vector<Fingerprint>& Gateway::fingerprintsOf(const Job& job) const
 {
     if (!job.fingerprints.empty())
@@ -722,15 +727,15 @@
 
 void Gateway::recordLostResponse(const Job& job, const std::shared_ptr<Upstream>& server, ErrorKind error)
 {
-    // This host ends an idempotent request when its caller leaves: that tells nothing of the server.
+    // This host cancels an idempotent request when its caller disconnects, which says nothing about the server.
     const bool endedHere = job.presence.gone && job.route->idempotent();
     if (!mayHaveCrashedServer(error) || endedHere || server->leaving())
         return;
     const Instant now = m_clock.now();
     for (const Fingerprint fingerprint : fingerprintsOf(job))
         m_crashes.responseLost(server->entry.id, fingerprint, now);
-    // Some servers reset connections while they are full. There each look would be one connection more that takes a
-    // place, and make more of them; a crash is seen the first time.
+    // Some servers reset connections while they are full. Each check takes one more connection there and causes more
+    // resets. The first check is enough to detect a crash.
     constexpr Millis checkInterval { 5'000 };
     const bool checkedRecently
         = server->reachabilityCheckedAt != Instant {} && now - server->reachabilityCheckedAt < checkInterval;
@@ -740,24 +745,24 @@
     spawnLoop(m_executor, "server-look", checkReachable(server));
 }
 
-// A connection may end for many reasons. Whether its server is still there tells a crash from all others within
-// milliseconds; the connection is kept for the next request.
+// A connection may end for many reasons. Connecting again tells a crash from the others within milliseconds. The new
+// connection is kept for the next request.
 asio::awaitable<void> Gateway::checkReachable(std::shared_ptr<Upstream> server)
 {
     auto connection = co_await server->pool.connect(m_options.connectTimeout);
     if (connection) {
-        // It may have started again already, or something before it takes connections in its place: whether it went
-        // away its entry tells.
+        // The server may have restarted already, or a proxy may accept connections in its place. In these cases only
+        // the server's entry shows that it went away.
         server->pool.giveBack(std::move(connection));
         co_return;
     }
     server->connectFailed();
-    recordServerGone(*server, "it takes no connections");
+    recordServerGone(*server, "the server accepts no connections");
 }
 
 void Gateway::recordServerGone(const Upstream& server, std::string_view why)
 {
-    // One that left in good order crashed from nothing.
+    // A server that shut down in good order has not crashed.
     if (server.leaving()) {
         m_crashes.serverAlive(server.entry.id);
         return;
@@ -785,7 +790,7 @@
     if (notice.leaving && !server.announcedLeaving()) {
         server.setAnnouncedLeaving(now);
         m_metrics.counter("servers_saying_they_leave").add();
-        logChange(LogLevel::Info, "server-says-leaving", { { "server", id }, { "request", job.id } });
+        logChange(LogLevel::Info, "server-announced-shutdown", { { "server", id }, { "request", job.id } });
         if (!server.entry.leaving)
             reportEarly();
     }
@@ -794,11 +799,11 @@
         server.backOffUntil(now + notice.retryAfter);
         m_metrics.counter("server_rests").add();
         if (!known && mayLog())
-            logChange(LogLevel::Info, "server-wants-rest",
+            logChange(LogLevel::Info, "server-requested-backoff",
                 { { "server", id }, { "request", job.id }, { "restMs", notice.retryAfter.count() } });
     }
     if (notice.malformed && !std::exchange(server.malformedNoticeLogged, true))
-        logChange(LogLevel::Warning, "server-notice-odd",
+        logChange(LogLevel::Warning, "server-notice-malformed",
             { { "server", id }, { "request", job.id }, { "leaving", answer[m_names.leaving] },
                 { "retryAfter", answer[http::field::retry_after] }, { "limit", limit } });
     if (!notice.limitUnreadable)
@@ -817,8 +822,8 @@
         return;
     const std::string& id = server.entry.id;
     if (limit)
-        logChange(
-            LogLevel::Info, "server-names-limit", { { "server", id }, { "request", job.id }, { "perSecond", *limit } });
+        logChange(LogLevel::Info, "server-announced-limit",
+            { { "server", id }, { "request", job.id }, { "perSecond", *limit } });
     else
         logChange(LogLevel::Info, "server-limit-ended", { { "server", id }, { "request", job.id } });
 }
@@ -837,7 +842,7 @@
     const unsigned status = answer.result_int();
     if (status == misdirected || answer.count(m_names.notExecuted))
         return ErrorKind::ServerRefused;
-    // Passed on, these would tell the caller that it did not run, and the server hasn't said so.
+    // Forwarded, these statuses would tell the caller that the request did not run, which the server hasn't stated.
     if (status == 503 || status == 429 || status == 408)
         return ErrorKind::BadAnswer;
     if (answeredByAnother(result, job.tried.back()))
@@ -847,14 +852,14 @@
     return success && !sealed ? ErrorKind::BadAnswer : ErrorKind::None;
 }
 
-// --- Answers
+// --- Responses
 
 CallerResponse Gateway::refuse(const Job& job, ErrorKind error)
 {
     if (job.failure)
         return *job.failure;
-    // The last try may surely not have run while an earlier one may have: the answer speaks for all of them, and
-    // 503 would promise that nothing ran.
+    // The response must hold for all attempts. If the last one certainly did not run but an earlier one may have, 503
+    // would wrongly promise that the request did not run.
     const ErrorKind answered = job.maybeRan && answerFor(error).ran == Ran::No ? job.uncertainError : error;
     logRequest(job, "request-refused", answered, job.tried.empty() ? std::string_view() : job.tried.back());
     return Refusals(m_metrics, RetryAfterForm::Fractions).make(answered, retryAfter(job, error), job.maybeRan);
@@ -874,7 +879,7 @@
     case ErrorKind::WarmingUp:
     case ErrorKind::ServerResting:
     case ErrorKind::ServerAtLimit: {
-        // Those that come back then find the server ready, but shouldn't all come in its first moments.
+        // Callers should return when the server is ready, but not all at that moment.
         constexpr Millis jitter { 500 };
         if (job.readyAt == Instant::max())
             return spread(m_options.moveWait);
@@ -886,7 +891,8 @@
     }
 }
 
-// Under load refusals come by the thousand. Lines are bounded; what is left out is counted in the next one.
+// Under load there are thousands of refusals, so the rate of log lines is limited. The next line that is written states
+// how many were left out.
 bool Gateway::mayLog()
 {
     constexpr double linesPerSecond = 100; // about 30 kB/s, and 1% of a small host's processor time
@@ -965,7 +971,8 @@
     return report;
 }
 
-// A request waits for a permit, or a place at a crowded server is free for another host.
+// Called when a request waits for a permit, when a crowded server has room for another host, and for news that can't
+// wait for the next report.
 void Gateway::reportEarly()
 {
     m_reportIsUrgent = true;
--- a/packages/gateway/Gateway.h
+++ b/packages/gateway/Gateway.h
@@ -1,8 +1,9 @@
-// The routing duty of a gateway host: from a whole request to its answer.
+// Routes the requests that a gateway host receives, from the complete request to its response.
 //
-// Finds the route by host name and path, the service by its split, and the server by the request's key (keyed
-// services) or by load (others); waits for a slot there, sends, and decides whether another try is allowed. What the
-// server answers is passed on byte for byte. Everything here runs on one thread.
+// Finds the route by host name and path, the service by the route's traffic split, and the server by the request's key
+// (keyed services) or by load (other services). Then waits for a slot at the server, sends the request, and decides
+// whether a failed request may be retried. The server's response is forwarded byte for byte. Everything here runs on
+// one thread.
 #pragma once
 
 #include "base/Metrics.h"
@@ -29,14 +30,14 @@
     std::string host; // this host's name
     std::string dataCentre;
     GatewaySettings settings;
-    Millis moveWait { 500 }; // for a key that is between two owners; a move takes about half of it
-    Millis connectTimeout { 250 }; // hosts and servers are at most a few ms apart
+    Millis moveWait { 500 }; // longest wait for a key that is moving; a move takes about half of it
+    Millis connectTimeout { 250 }; // latency between hosts and servers is a few ms at most
 };
 
 class Gateway final : public RequestHandler {
 public:
     using ReportSink = std::function<void(GatewayReport)>;
-    using BoundsSink = std::function<void(const CallerBounds&)>; // the operators' limits on callers have changed
+    using BoundsSink = std::function<void(const CallerBounds&)>; // called when the operators' limits on callers change
 
     Gateway(boost::asio::any_io_executor, const Clock&, const PlatformAdapter&, GatewayOptions, Metrics&, ReportSink,
         BoundsSink);
@@ -44,7 +45,7 @@
 
     // --- From control
     void apply(GatewayUpdate);
-    void start(); // begins to report
+    void start(); // starts the periodic reports
 
     // --- From callers
     BodyRule bodyRule(const CallerHeader&) override;
@@ -53,13 +54,13 @@
     bool ready() const override;
 
 private:
-    struct Job; // one request on its way
+    struct Job; // state of one request
 
     struct Located {
         ErrorKind error = ErrorKind::None;
         std::shared_ptr<Upstream> server;
-        bool worthWaiting = false; // the error passes within a move's time
-        Instant readyAt = Instant::max(); // of a server that is warming up or rests: it takes requests then
+        bool worthWaiting = false; // the error is likely to pass within moveWait
+        Instant readyAt = Instant::max(); // when the refusing server accepts requests again
     };
 
     void applyServers();
@@ -69,33 +70,33 @@
     Located locate(const Job&);
     Located locateKey(const Job&);
     Located chooseByLoad(const Job&);
-    Located chooseFallback(const Job&); // all servers are warming up, rest or are at their limits
+    Located chooseFallback(const Job&); // when all servers are warming up, backing off or at their limits
     const std::vector<Fingerprint>& fingerprintsOf(const Job&) const;
-    Fingerprint relevantFingerprint(const Job&) const; // the quarantined one, if one is
+    Fingerprint relevantFingerprint(const Job&) const; // the quarantined one, if any; else of the whole request
     bool quarantined(const Job&) const;
-    bool suspect(const Job&) const; // not to be sent a second time
+    bool suspect(const Job&) const; // suspected of crashing servers, so it must not be retried
     void recordLostResponse(const Job&, const std::shared_ptr<Upstream>&, ErrorKind);
-    void recordServerGone(const Upstream&, std::string_view why); // the requests that were there may have crashed it
-    boost::asio::awaitable<void> checkReachable(std::shared_ptr<Upstream>); // whether it still takes connections
-    std::pair<ErrorKind, Instant> unreadyReason(
-        const Upstream&, Instant now) const; // and until when; None: it is ready
-    // False: this host must wait for its turn, as the server is warming up or has named a limit.
+    // Reports the requests that were at the server when it went away: one of them may have crashed it.
+    void recordServerGone(const Upstream&, std::string_view why);
+    boost::asio::awaitable<void> checkReachable(std::shared_ptr<Upstream>); // by a new connection
+    std::pair<ErrorKind, Instant> unreadyReason(const Upstream&, Instant now) const; // and until when; None: ready
+    // False while this host must wait because the server is warming up or has announced a rate limit.
     bool maySendTo(const Upstream&, Instant now) const;
     bool anyWarm(const std::string& service, Instant now) const;
     boost::asio::awaitable<CallerResponse> run(Job&);
     boost::asio::awaitable<ErrorKind> tryOnce(Job&, CallerResponse&);
     boost::asio::awaitable<ErrorKind> exchange(Job&, Upstream&, ConnectionPointer, CallerResponse&);
-    void applyNotice(const Job&, Upstream&, const BackendResponse&); // what a server says of itself in an answer
-    void applyAnnouncedLimit(const Job&, Upstream&, std::optional<PerSecond>); // nothing: it names no limit any more
+    void applyNotice(const Job&, Upstream&, const BackendResponse&); // from the response's headers
+    void applyAnnouncedLimit(const Job&, Upstream&, std::optional<PerSecond>); // no value: no limit announced
     bool answeredByAnother(const ExchangeResult&, std::string_view server) const;
-    ErrorKind classify(const Job&, const ExchangeResult&) const; // what the server's answer means for the request
+    ErrorKind classify(const Job&, const ExchangeResult&) const; // None: the response goes to the caller
     bool mayRetry(Job&, ErrorKind);
     CallerResponse refuse(const Job&, ErrorKind);
     Millis retryAfter(const Job&, ErrorKind);
-    double retryBurst() const; // second sends that this host may have saved up
+    double retryBurst() const; // maximum of unused retries that this host may accumulate
     RetryBudget& budgetOf(const std::string& service);
     void logRequest(const Job&, std::string_view event, ErrorKind, std::string_view server);
-    bool mayLog(); // within the bound on lines about requests
+    bool mayLog(); // rate limit for log lines about requests
 
     boost::asio::awaitable<void> reportLoop();
     void reportEarly();
@@ -114,28 +115,29 @@
     Counter& m_answered;
     Counter& m_retries;
 
-    std::shared_ptr<const RouteRules> m_rules; // null until the first
+    std::shared_ptr<const RouteRules> m_rules; // null until the first rules arrive
     std::shared_ptr<const ServerMap> m_registeredServers;
-    int64_t m_registeredRevision = 0; // change of the store
-    size_t m_hosts = 0; // that share the servers; 0: not known yet
+    int64_t m_registeredRevision = 0; // revision of the store
+    size_t m_hosts = 0; // number of hosts that share the servers; 0: not known yet
     HostCount m_hostCount;
     HostCrashTracker m_crashes;
     uint64_t m_lastSharesNumber = 0;
-    std::vector<std::string> m_sharedServers; // servers of which this host has a share
+    std::vector<std::string> m_sharedServers; // ids of servers for which this host has a share
     std::map<std::string, std::shared_ptr<const GrantTable>, std::less<>> m_tables; // by service
     std::map<std::string, std::shared_ptr<Upstream>, std::less<>> m_servers; // by id
     std::map<std::string, std::vector<std::shared_ptr<Upstream>>, std::less<>> m_byService;
     std::map<std::string, RetryBudget, std::less<>> m_budgets; // by service
     TrafficSplitter m_splits;
-    std::map<std::string, Millis, std::less<>> m_longestCallerTimeout; // of callers, by route
-    std::map<std::string, std::unordered_map<uint32_t, uint64_t>> m_keyUse; // busy µs since the last report
-    double m_logTokens = 0; // that may be written at once
-    uint64_t m_droppedLogLines = 0; // since the last that was written
+    std::map<std::string, Millis, std::less<>> m_longestCallerTimeout; // by route
+    // By service and key: busy µs since the last report.
+    std::map<std::string, std::unordered_map<uint32_t, uint64_t>> m_keyUse;
+    double m_logTokens = 0; // token bucket for log lines about requests
+    uint64_t m_droppedLogLines = 0; // since the last line that was written
     Instant m_logTokensAt {};
-    Signal m_changed; // tables or servers
+    Signal m_changed; // notified when tables or servers change
     Instant m_lastReport {};
-    Signal m_urgentReport; // a request waits for a permit
-    bool m_reportIsUrgent = false; // since the last report
+    Signal m_urgentReport; // wakes the report loop before the interval is over
+    bool m_reportIsUrgent = false; // reportEarly() was called since the last report
 };
 
 }
--- a/packages/gateway/Messages.h
+++ b/packages/gateway/Messages.h
@@ -1,4 +1,4 @@
-// What the control duty and the routing duty say to each other, over two bounded rings.
+// Messages between the control thread and the routing thread, over two bounded ring buffers.
 #pragma once
 
 #include "base/Time.h"
@@ -19,42 +19,42 @@
 
 using ServerMap = GrantPlan::Servers; // by id
 
-// What the coordinator says of one server that a report named.
+// The coordinator's answer for one server that a report named.
 struct ServerAdvice {
     enum class Kind : uint8_t { Room, Share, Permits };
-    Kind kind = Kind::Room; // Room: no need to share
-    double share = 0; // requests there at once
-    unsigned permits = 0; // that may start beyond those there: the server is crowded
-    Millis permitInterval { 0 }; // until the next permit, about
+    Kind kind = Kind::Room; // Room: no limit needed
+    double share = 0; // concurrent requests to the server
+    unsigned permits = 0; // requests that may start beyond those at the server
+    Millis permitInterval { 0 }; // expected time until the next permit
 };
 
 using RateLimits = std::map<std::string, PerSecond, std::less<>>; // by server id
 
 // The answer to a report.
 struct HostShares {
-    uint64_t number = 0; // of the answers that this host got
-    size_t hosts = 0; // that share the servers; 0: not known yet
+    uint64_t number = 0; // sequence number of the answers to this host
+    size_t hosts = 0; // number of hosts that share the servers; 0: not known yet
     std::map<std::string, ServerAdvice, std::less<>> servers; // by id
-    std::shared_ptr<const RateLimits> limits; // in force; null: none
+    std::shared_ptr<const RateLimits> limits; // rate limits in force; null: none
 };
 
-// What is known over all hosts of requests that crash servers.
+// Requests that crash servers, as known from all hosts together.
 struct CrashUpdate {
     std::set<Fingerprint> suspects;
     std::set<Fingerprint> quarantined;
     bool operator==(const CrashUpdate&) const = default;
 };
 
-// Control to routing. Empty members mean "as before".
+// From control to routing. Empty members mean no change.
 struct GatewayUpdate {
     std::shared_ptr<const RouteRules> rules;
     std::shared_ptr<const ServerMap> servers;
-    int64_t serversAsOf = 0; // with `servers`: the newest change of others that the host knew of
+    int64_t serversAsOf = 0; // with `servers`: newest revision of the store that the host knew of
     std::vector<std::shared_ptr<const GrantTable>> tables;
     std::shared_ptr<const HostShares> shares;
     std::shared_ptr<const CrashUpdate> crashes;
-    bool newCoordinator = false; // it hasn't heard of what its predecessor was told
-    std::vector<std::string> crowded; // servers to which nothing goes without a permit from now on
+    bool newCoordinator = false; // it has none of the reports that its predecessor received
+    std::vector<std::string> crowded; // servers that need permits from now on
 };
 
 struct KeyUse {
@@ -62,34 +62,34 @@
     uint64_t busyMicros = 0;
 };
 
-// What this host had at one server, as means over the report's time.
+// This host's use of one server: means over the report's period, unless noted.
 struct ServerUse {
-    double inFlight = 0;
-    double waiting = 0; // here, for a slot there
-    Millis meanWork { 0 }; // 0: none ended
-    unsigned present = 0; // there at the moment of the report
-    unsigned waitingNow = 0; // here, likewise
-    unsigned overdue = 0; // of those there: without an answer for several times the usual work
+    double inFlight = 0; // requests at the server
+    double waiting = 0; // requests on this host that wait for a slot at the server
+    Millis meanWork { 0 }; // mean duration of the requests that ended; 0: none ended
+    unsigned present = 0; // requests at the server at the time of the report
+    unsigned waitingNow = 0; // requests that wait at the time of the report
+    unsigned overdue = 0; // part of `present`: unanswered for several times the usual duration
 };
 
-// What a server said in an answer of the requests that it takes.
+// A rate limit that a server announced in a response.
 struct AnnouncedLimit {
     std::string server;
-    std::optional<PerSecond> limit; // nothing: it names none any more
+    std::optional<PerSecond> limit; // no value: the server announces none any more
     Instant at {};
 };
 
-// Routing to control.
+// From routing to control.
 struct GatewayReport {
     Millis period { 0 };
     std::map<std::string, std::vector<KeyUse>> keys; // by service
     std::map<std::string, ServerUse> servers; // by id; idle ones are left out
-    uint64_t lastSharesNumber = 0; // number of the newest answer that the report knows of
-    bool urgent = false; // a request waits for a permit
+    uint64_t lastSharesNumber = 0; // HostShares::number of the newest answer received before the report
+    bool urgent = false; // a request waits for a permit, or there is news that can't wait
     std::vector<ServerCrash> crashes;
-    std::vector<Fingerprint> answered; // of the suspects
-    std::vector<std::string> leaving; // servers that say so in their answers and whose entries don't
-    std::vector<AnnouncedLimit> rates; // said lately
+    std::vector<Fingerprint> answered; // suspects that a server has answered
+    std::vector<std::string> leaving; // servers that announce it in responses while their entries don't
+    std::vector<AnnouncedLimit> rates; // announced recently
 };
 
 }
--- a/packages/gateway/PlatformAdapter.h
+++ b/packages/gateway/PlatformAdapter.h
@@ -1,5 +1,5 @@
-// What a deployment's platform says in its own words, in ours. One implementation for each platform; it only
-// translates and decides nothing.
+// Interface to a deployment's platform: translates its headers, store entries and documents into the router's types and
+// back. There is one implementation for each platform; it contains no decisions.
 #pragma once
 
 #include "decisions/GrantPlan.h"
@@ -16,31 +16,31 @@
 
 namespace cumindale {
 
-// Headers by which callers, hosts and servers speak of a request.
+// Names of the headers that callers, hosts and servers exchange with a request.
 struct RequestHeaderNames {
-    std::string requestId; // of one try of a caller; servers echo it
-    std::string timeLeft; // whole milliseconds that the caller goes on waiting
-    std::string signature; // on what a server itself answered
-    std::string targetServer; // the server that is meant; any other refuses with 421
-    std::string notExecuted; // on answers: the server did not run the request
-    std::string server; // on answers: the server's name
-    std::string key; // number of the request's key, in decimals
-    std::string leaving; // on answers: "1" if the server is about to leave
-    std::string limit; // on answers: requests a second that the server takes from all hosts together, in decimals
+    std::string requestId; // id of one attempt of a caller; servers echo it
+    std::string timeLeft; // how much longer the caller waits, in whole milliseconds
+    std::string signature; // on responses that come from a server itself
+    std::string targetServer; // name of the intended server; any other refuses with 421
+    std::string notExecuted; // on responses: the server did not run the request
+    std::string server; // on responses: the server's name
+    std::string key; // number of the request's key, in decimal
+    std::string leaving; // on responses: "1" if the server is shutting down
+    std::string limit; // on responses: requests a second that the server accepts from all hosts together, in decimal
 };
 
-// Which item of the store an entry is.
+// Kind of an entry in the store.
 enum class StoreItem : uint8_t {
     Rules,
     Server,
-    Evacuation, // of a data centre, for as long as the item is there
+    Evacuation, // of a data centre, while the entry exists
     Other,
 };
 
-// The operators' document as far as this version understands it.
+// The operators' configuration document, as far as this version understands it.
 struct ParsedRules {
     RouteRules rules;
-    std::vector<FieldFault> problems; // one for each part that was left out or taken at its strictest
+    std::vector<FieldFault> problems; // one for each part that was ignored, or read in its strictest meaning
 };
 
 class PlatformAdapter {
@@ -50,19 +50,20 @@
     virtual std::unique_ptr<Store> makeStore(
         boost::asio::any_io_executor, std::string address, uint16_t port) const = 0;
     virtual const RequestHeaderNames& headers() const = 0;
-    virtual std::string_view readinessPath() const = 0; // asked by the balancer
+    virtual std::string_view readinessPath() const = 0; // polled by the load balancer
 
-    // --- What the store holds besides our own keys
+    // --- Entries of the store that belong to the platform
     virtual StoreItem itemOf(std::string_view key) const = 0;
     virtual std::string serverNameIn(std::string_view key) const = 0;
     virtual std::string dataCentreIn(std::string_view key) const = 0; // of an evacuation
-    // Each fails with a FieldFault: rules that are no document at all, an entry that names no server to use.
+    // Each fails with a FieldFault: parseRules() if the text is no valid document, parseServer() if the entry describes
+    // no usable server.
     virtual boost::leaf::result<ParsedRules> parseRules(std::string_view text) const = 0;
     virtual boost::leaf::result<RegisteredServer> parseServer(std::string_view name, std::string_view text) const = 0;
 
-    // --- Orders to servers
+    // --- Grant orders to servers
     virtual HttpCall callFor(const GrantOrder&) const = 0;
-    virtual OrderResult resultOf(const GrantOrder&, const HttpReply&) const = 0; // of an answer that arrived
+    virtual OrderResult resultOf(const GrantOrder&, const HttpReply&) const = 0; // of a response that arrived
     virtual std::string handoverIn(const HttpReply&) const = 0;
 };
 
--- a/packages/gateway/ServerShares.cpp
+++ b/packages/gateway/ServerShares.cpp
@@ -11,7 +11,7 @@
 namespace {
 
     constexpr double centi = 100;
-    // A few keys are hot at a time. When much of a deployment is overloaded at once, permits for all of it cost the
+    // Few keys are hot at a time. When much of a deployment is overloaded at once, permits for all its servers cost the
     // hosts and the coordinator more than they save.
     constexpr size_t maxCrowdedServers = 6;
 
@@ -57,8 +57,8 @@
     state.demand.report(host, demandIn(use), now);
     if (use.workMicros <= 0)
         return;
-    // What is at the server beyond its slots waits there: by Little's law that part of the time is no work.
-    // Taken for work, it made servers under load look slow, and their keys moved away for it.
+    // Requests at the server beyond its slots wait in its queue, so by Little's law that part of their time is not
+    // work. Counted as work, it makes servers under load look slow, and their keys are moved away needlessly.
     constexpr double smoothing = 0.1;
     const double working = std::min(1.0, slots / std::max(1.0, state.demand.inFlight(now)));
     const double work = working * use.workMicros / 1000.0;
@@ -125,13 +125,13 @@
     return found == m_servers.end() ? 0 : found->second.workMillis;
 }
 
-// --- Crowds
+// --- Crowded servers
 
-// Where one request from each host is no more than the server takes, shares alone keep its queue from overflowing.
+// If the server takes one request from each host, shares alone keep its queue from overflowing.
 bool ServerShares::mayBeCrowded(const std::string& server, unsigned slots, Instant now)
 {
-    // A crowded server that has gone, or whose keys have moved, is named by no report. Were its place not given back,
-    // after six such no server got permits any more until the office ended. Hosts believe in a crowd as long.
+    // No report names a crowded server that is gone or whose keys have moved, so its entry expires. Otherwise no server
+    // could become crowded after six such servers until another coordinator is elected. Hosts use the same timeout.
     std::erase_if(
         m_crowded, [&](const auto& entry) { return now - entry.second > ServerLimitOptions {}.crowdedTimeout; });
     return hostsExceedQueue(m_hosts, slots) && (m_crowded.count(server) || m_crowded.size() < maxCrowdedServers);
@@ -158,11 +158,11 @@
     return true;
 }
 
-// Also the hosts that have nothing there: each of them may send the next request.
+// Hosts without requests at the server are told as well: each of them may send the next request.
 std::vector<std::string> ServerShares::crowdsToAnnounce(std::span<const std::string> crowded, Instant now)
 {
-    constexpr Millis repeatInterval { 800 }; // hosts believe it for 2 s, and a message may be lost
-    constexpr Millis newCrowdAfter { 3'000 }; // not told for so long: another crowd
+    constexpr Millis repeatInterval { 800 }; // hosts treat the server as crowded for 2 s, and a message may be lost
+    constexpr Millis newCrowdAfter { 3'000 }; // after so long without a message it is a new crowd, which is logged
     std::vector<std::string> servers;
     for (const auto& server : crowded) {
         State& state = stateOf(server);
--- a/packages/gateway/ServerShares.h
+++ b/packages/gateway/ServerShares.h
@@ -1,6 +1,7 @@
-// What the coordinator knows of the load of each server from the hosts' reports, and what each host may send there.
+// At the coordinator: the load of each server from the hosts' reports, and the share or permits that each host gets.
 //
-// The decisions are in decisions/SlotShares.h, one SlotDemand a server; here is what joins them to the wire.
+// decisions/SlotShares.h makes the decisions, with one SlotDemand for each server; this class converts from and to the
+// messages of the wire protocol.
 #pragma once
 
 #include "decisions/RateLimit.h"
@@ -18,32 +19,33 @@
 
 class ServerShares {
 public:
-    // `defaultWorkMillis`: of one request, at a server of which nothing is known.
+    // `defaultWorkMillis`: assumed duration of one request at a server without reports.
     ServerShares(ShareOptions, double defaultWorkMillis);
 
     // --- From reports
-    void setHosts(size_t hosts, Millis interval); // that report, each once in `interval`
+    void setHosts(size_t hosts, Millis interval); // `hosts` report, each once in `interval`
     void report(const std::string& host, const wire::ServerUse&, unsigned slots, Instant now);
     void forget(std::string_view host);
     void clear();
 
     // --- Answers
-    // Nothing: it has room. `keyed`: it holds keys, so that requests wait for it; without keys others do the work, and
-    // it gets something only if permits come before the requests.
+    // The host's share of the server, or its permits; no value if the server has room. `keyed`: the server holds keys,
+    // so requests wait for it. Without keys, requests go to other servers instead of waiting, and a rate-limited server
+    // gets work only if permits are given before requests arrive.
     std::optional<wire::ServerShare> shareFor(
         const std::string& host, const std::string& server, unsigned slots, bool keyed, Instant now);
-    double workMillis(const std::string& server) const; // mean over hosts and time; 0: not known
+    double workMillis(const std::string& server) const; // of one request, mean over hosts and time; 0: not known
 
-    // --- Limits that servers name
+    // --- Rate limits that servers announce
     GlobalRateLimiter& rates() { return m_rates; }
     const GlobalRateLimiter& rates() const { return m_rates; }
 
-    // --- Crowds
-    // A key that crowds its server moves to this one. `busyMillis`: of usual work a second that it asks for. False:
-    // that is no crowd there.
+    // --- Crowded servers
+    // Call when a key that overloads its server moves to this one. `busyMillis`: the key's demand, in ms of work of
+    // default duration per second. False: the key won't overload this server.
     bool expectCrowd(const std::string& server, unsigned slots, double busyMillis, Instant now);
-    std::vector<std::string> crowdsToAnnounce(
-        std::span<const std::string> crowded, Instant now); // which all hosts must hear of
+    // Those of the crowded servers of which all hosts must be told now.
+    std::vector<std::string> crowdsToAnnounce(std::span<const std::string> crowded, Instant now);
 
 private:
     struct State {
@@ -66,7 +68,7 @@
     double m_defaultWorkMillis;
     size_t m_hosts = 0;
     Millis m_reportInterval { 250 };
-    // Servers to which nothing goes without a permit, and when a report last said so.
+    // Servers that need permits, with the time at which a report last showed them as crowded.
     std::map<std::string, Instant, std::less<>> m_crowded;
     std::map<std::string, State, std::less<>> m_servers;
     GlobalRateLimiter m_rates;
--- a/packages/gateway/Upstream.cpp
+++ b/packages/gateway/Upstream.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-    // Keep-alive probes (web/Sockets.cpp) end a connection that went silent within about three seconds, so one that
-    // has been idle for longer is as good as a young one; a new one costs the server a handshake.
+    // TCP keep-alive probes (web/Sockets.cpp) end a dead connection within about three seconds, so a connection that
+    // has been idle for longer is as trustworthy as a new one, which would cost the server a handshake.
     constexpr Millis trustIdle { 8'000 };
-    constexpr unsigned failuresUntilBackoff = 2; // one may be an accident of one connection
+    constexpr unsigned failuresUntilBackoff = 2; // a single failure may concern one connection only
     constexpr Millis minBackoff { 200 };
     constexpr Millis maxBackoff { 2'000 };
-    // A permit that comes ahead of requests, until the next one may have come.
+    // How long permits given ahead of requests stay valid: until the next ones may have arrived.
     constexpr Millis permitLifetime { 1'000 };
 
     ServerResource resourceOf(const RegisteredServer& entry, const RoutedService* service)
@@ -55,7 +55,7 @@
     if (service)
         m_warmUp = service->warmUp;
     if (wasOpen && (draining() || warmingUp(now)))
-        pool.evictQueue(); // what waits here looks for another server, or for the keys' next owner
+        pool.evictQueue(); // waiting requests look for another server, or for the next owner of their keys
     pool.update(resourceOf(registered, service), hosts);
     m_limit.setSlotsAndHosts(registered.slots, hosts);
     applyLimit(now);
@@ -117,8 +117,8 @@
 {
     const bool needs = needsPermit(now);
     const bool lapsed = !crowded(now) && now >= m_permitsUntil && pool.admission().permits();
-    // Where requests are refused for the pause, none waits and no report tells of it: after the pause one may ask
-    // again.
+    // Requests that would wait longer than the permit interval are refused, so none waits and no report asks for a
+    // permit. After the interval a request may wait again.
     const bool mayAsk = needs && rateLimit() && m_permitInterval > Millis(0) && now >= m_askPermitFrom;
     if (mayAsk)
         m_permitInterval = Millis(0);
@@ -177,7 +177,7 @@
         m_localLimiter.recordSend(now);
 }
 
-// --- Health, use
+// --- Health, usage
 
 void Upstream::recordFailure(Instant now)
 {
@@ -189,7 +189,7 @@
 
 bool Upstream::recordConnected(Instant now)
 {
-    // A server writes its entry as soon as it has started, and the news of it take half a second at the most.
+    // A server writes its entry as soon as it has started, and the change reaches hosts within half a second.
     constexpr Millis entryDelay { 700 };
     if (std::exchange(m_connectFailed, false) && m_warmUp.isSet())
         m_reconnectHoldUntil = now + entryDelay;
--- a/packages/gateway/Upstream.h
+++ b/packages/gateway/Upstream.h
@@ -1,4 +1,4 @@
-// What the routing duty keeps for one registered server.
+// State that a host's router keeps for one registered backend server.
 #pragma once
 
 #include "backends/ServerPool.h"
@@ -18,29 +18,29 @@
 
     void update(const RegisteredServer&, const RoutedService*, size_t hosts, Instant now);
 
-    // --- Limits, told by the coordinator
+    // --- Limits from the coordinator
     void applyAdvice(const ServerAdvice&, Instant now);
-    void clearShare(Instant now); // the answer to a report leaves it out
+    void clearShare(Instant now); // call when the answer to a report omits the server
     void setCrowded(Instant now);
     bool crowded(Instant now) const { return m_limit.crowded(now); }
-    // Nothing goes there without the coordinator's permit: it is crowded, or has named a limit.
+    // Whether requests need the coordinator's permit: the server is crowded, or has announced a rate limit.
     bool needsPermit(Instant now) const { return crowded(now) || (rateLimit() && !m_rate.coordinatorSilent(now)); }
     bool hasPermit() const { return m_hasPermits && pool.admission().permits() > pool.admission().queued(); }
-    void applyLimit(Instant now); // what was told may have lapsed
-    // A report says what is at a crowded server: nothing else starts until it is answered.
+    void applyLimit(Instant now); // also drops limits and permits that have expired
+    // Call after each report. The report states what is at a crowded server, so nothing else may start there until the
+    // report is answered.
     void dropPermits(Instant now);
-    Instant nextPermit(Instant now) const; // about
+    Instant nextPermit(Instant now) const; // estimate
 
-    // --- The requests a second that it takes from all hosts together. Nothing: it names no limit.
-    void setLimitFromServer(std::optional<PerSecond>, Instant now); // in an answer to this host
-    void setLimitFromCoordinator(
-        std::optional<PerSecond>, size_t hosts, Instant now); // by the coordinator; 0 hosts: not known
+    // --- Rate limit: requests a second that the server accepts from all hosts together. No value: no limit announced.
+    void setLimitFromServer(std::optional<PerSecond>, Instant now); // from a response to this host
+    void setLimitFromCoordinator(std::optional<PerSecond>, size_t hosts, Instant now); // `hosts`: 0 if not known
     void repeatLimitReport() { m_rate.repeatToNewCoordinator(); }
     std::optional<PerSecond> rateLimit() const { return m_rate.limit(); }
     std::optional<KnownRateLimit::Observation> limitToReport(Instant now) const { return m_rate.toReport(now); }
-    // Without a coordinator this host sends in turns of its own.
+    // Without a coordinator this host limits its own rate: no request may be sent yet.
     bool isLocallyLimited(Instant now) const { return usesLocalLimiter(now) && nextLocalSend(now) > now; }
-    // Neither a permit nor a turn is there, because of the limit.
+    // Because of the rate limit no request may be sent now, with or without a coordinator.
     bool isAtLimit(Instant now) const
     {
         return rateLimit() && (usesLocalLimiter(now) ? nextLocalSend(now) > now : !hasPermit());
@@ -51,55 +51,56 @@
     }
     void recordLocalSend(Instant now);
 
-    // --- Health, from real answers only
+    // --- Health, from responses to requests only
     void recordSuccess() { failures = 0; }
     void recordFailure(Instant now);
 
-    // --- What it said itself, in its answers
+    // --- Announced by the server in response headers
     void setAnnouncedLeaving(Instant now);
     bool announcedLeaving() const { return m_announcedLeavingSince != Instant {}; }
     Instant announcedLeavingSince() const { return m_announcedLeavingSince; }
     bool leaving() const { return entry.leaving || announcedLeaving(); }
-    bool draining() const { return entry.draining() || announcedLeaving(); } // it gets nothing new
-    bool outOfUse() const { return draining() || replaced; } // it gets nothing ever more
-    // Another server has the work if any can: it leaves, warms up, rests, or is at its limit.
+    bool draining() const { return entry.draining() || announcedLeaving(); } // gets no new work
+    bool outOfUse() const { return draining() || replaced; } // gets no request any more
+    // Gets work only if no other server can do it: the server is leaving, warming up, backing off or at its limit.
     bool isUnready(Instant now) const { return outOfUse() || warmingUp(now) || backingOff(now) || isAtLimit(now); }
     void backOffUntil(Instant until);
-    bool backingOff(Instant now) const { return now < m_backoffEnd; } // it gets no request
+    bool backingOff(Instant now) const { return now < m_backoffEnd; } // the server has asked for no requests
     Instant backoffEnd() const { return m_backoffEnd; }
-    bool malformedNoticeLogged = false; // told in the log once
-    std::optional<PerSecond> loggedLimit; // in the last answer, as told in the log
+    bool malformedNoticeLogged = false; // such a notice is logged once
+    std::optional<PerSecond> loggedLimit; // rate limit in the last response, as logged
 
     // --- Warming up
     bool warmingUp(Instant now) const { return m_warmUp.isSet() && now < warmupEnd(); }
     Instant warmupEnd() const { return std::max(entry.warmupEnd, m_reconnectHoldUntil); }
     const WarmUpLimit& warmUp() const { return m_warmUp; }
-    bool warmUpPauseOver(Instant now) const { return now >= m_nextWarmUpSend; } // of a host that may send meanwhile
+    bool warmUpPauseOver(Instant now) const { return now >= m_nextWarmUpSend; } // the pause between requests is over
     void recordWarmUpSend(Instant now) { m_nextWarmUpSend = now + warmUpPause; }
-    // A server that couldn't be connected to and can be again may have started anew, and its entry not have been heard
-    // of. It gets nothing until that would be known: hosts that all sent what waits for it would crash it again.
+    // A server that accepts connections again after a failure may have restarted, and its new entry may not have
+    // arrived yet. It gets no requests until the entry must have arrived: hosts that all sent their waiting requests at
+    // once would crash the server again.
     void connectFailed() { m_connectFailed = true; }
-    bool recordConnected(Instant now); // false: it is held off
-    bool failing(Instant now) const { return now < failingUntil; } // gets new work only if no other server can
+    bool recordConnected(Instant now); // false: send nothing yet
+    bool failing(Instant now) const { return now < failingUntil; } // gets new work only if no other server can do it
 
-    // --- Use, for reports
-    void accumulateUse(Instant now); // before each change of the numbers at work or waiting
-    // Nothing: there is nothing to tell. A crowded server is named once more when nothing is left there: its place is
-    // somebody else's then.
+    // --- Usage, for reports
+    void accumulateUse(Instant now); // call before each change of the requests in flight or waiting
+    // Usage since the last call, `period` ago; no value if there is nothing to report. A server that needs permits is
+    // reported once more when this host has nothing left there, so that others get the permits.
     std::optional<ServerUse> takeUse(Instant now, Millis period);
     void recordWork(Millis took);
-    std::multiset<Instant> overdueTimes; // of each request that is there
+    std::multiset<Instant> overdueTimes; // when each request at the server becomes overdue
 
     RegisteredServer entry;
     ServerPool pool;
-    Instant reachabilityCheckedAt {}; // when a connection was last tried only because another one had been lost
-    bool replaced = false; // another server answers at its address: it is gone, whatever its entry says
-    Instant leavingSince {}; // when this host learned that it leaves
+    Instant reachabilityCheckedAt {}; // last check after a lost connection
+    bool replaced = false; // another server answers at its address, so this one is gone whatever its entry says
+    Instant leavingSince {}; // when this host learned from the entry that the server is leaving
     Instant evacuatedSince {}; // when this host learned of its data centre's evacuation
-    unsigned failures = 0; // in a row
+    unsigned failures = 0; // consecutive
     Instant failingUntil {};
-    // It refused a key that the table says is its: its hold may have run out. What asks for its keys meanwhile would
-    // only be refused there, too.
+    // Set when the server refused a key that the table assigns to it, as its hold may have expired. Until then it would
+    // refuse other requests for its keys as well.
     Instant refusesKeysUntil {};
 
 private:
@@ -111,20 +112,20 @@
     Instant m_backoffEnd {};
     WarmUpLimit m_warmUp;
     Instant m_nextWarmUpSend {};
-    bool m_connectFailed = false; // the last time
+    bool m_connectFailed = false; // the last connection attempt failed
     Instant m_reconnectHoldUntil {};
     ServerLimit m_limit;
-    bool m_hasPermits = false; // requests start by permits, if only by none
+    bool m_hasPermits = false; // requests start by permits only, of which there may be none
     Millis m_permitInterval { 0 };
     Instant m_permitsUntil {};
-    Instant m_askPermitFrom {}; // for a permit, whatever the pause between two
+    Instant m_askPermitFrom {}; // then a request may wait for a permit despite m_permitInterval
     KnownRateLimit m_rate;
     LocalRateLimiter m_localLimiter;
-    size_t m_sharingHosts = 0; // hosts; 0: not known
-    bool m_inLastReport = false; // in the last report
+    size_t m_sharingHosts = 0; // number of hosts that share the server; 0: not known
+    bool m_inLastReport = false; // the last report named the server as in use
     Instant m_countedAt {};
-    double m_busyMillis = 0; // requests there x time
-    double m_waitingMillis = 0;
+    double m_busyMillis = 0; // requests in flight x time
+    double m_waitingMillis = 0; // requests waiting x time
     int64_t m_workMillis = 0;
     int64_t m_workCount = 0;
 };
--- a/tests/server_shares_test.cpp
+++ b/tests/server_shares_test.cpp
@@ -1,4 +1,4 @@
-// What the coordinator advises hosts from their reports.
+// Tests the shares and permits that the coordinator gives to hosts.
 #include "gateway/ServerShares.h"
 
 #include <doctest/doctest.h>
@@ -29,9 +29,9 @@
 
 }
 
-// What callers saw: after a while hot keys crowded their servers as if there were no permits. Six servers had been
-// crowded when they went away; their places were never given back.
-TEST_CASE("a crowded server that no report names any more makes room for another one")
+// At most six servers may be crowded at once. Servers that went away while crowded must not count towards that limit
+// forever: no other server could get permits, and hot keys would overload their servers.
+TEST_CASE("a crowded server that reports no longer name stops counting towards the limit")
 {
     ServerShares shares({}, 100);
     shares.setHosts(58, Millis(250));
