--- a/packages/gateway/Gateway.h
+++ b/packages/gateway/Gateway.h
@@ -117,7 +117,7 @@
 
     std::shared_ptr<const RouteRules> m_rules; // null until the first rules arrive
     std::shared_ptr<const ServerMap> m_registeredServers;
-    int64_t m_registeredRevision = 0; // revision of the store
+    int64_t m_registeredRevision = 0; // GatewayUpdate::serversAsOf
     size_t m_hosts = 0; // number of hosts that share the servers; 0: not known yet
     HostCount m_hostCount;
     HostCrashTracker m_crashes;
--- a/packages/gateway/Messages.h
+++ b/packages/gateway/Messages.h
@@ -49,7 +49,7 @@
 struct GatewayUpdate {
     std::shared_ptr<const RouteRules> rules;
     std::shared_ptr<const ServerMap> servers;
-    int64_t serversAsOf = 0; // with `servers`: newest revision of the store that the host knew of
+    int64_t serversAsOf = 0; // with `servers`: the host knew all writes of others up to this revision of the store
     std::vector<std::shared_ptr<const GrantTable>> tables;
     std::shared_ptr<const HostShares> shares;
     std::shared_ptr<const CrashUpdate> crashes;
