--- a/apps/cumindaled/Host.cpp
+++ b/apps/cumindaled/Host.cpp
@@ -29,9 +29,9 @@
     {
         RouterOptions options;
         options.host = settings.host.name;
-        options.keyBytes = settings.limits.keyBytes;
-        options.watch.probeInterval = settings.timing.probe;
-        options.watch.probeTimeout = settings.timing.probeTimeout;
+        options.maxKeyBytes = settings.limits.keyBytes;
+        options.monitor.probeInterval = settings.timing.probe;
+        options.monitor.probeTimeout = settings.timing.probeTimeout;
         return options;
     }
 
--- a/packages/control/Control.cpp
+++ b/packages/control/Control.cpp
@@ -41,7 +41,7 @@
             total += micros;
             wire::SliceLoad entry;
             entry.slice = static_cast<int32_t>(slice);
-            entry.busyMicrosPerSecond = perSecond(micros, load.over);
+            entry.busyMicrosPerSecond = perSecond(micros, load.period);
             report.slices.push_back(entry);
         }
         for (const auto& key : load.hotKeys) {
@@ -50,7 +50,7 @@
                 break; // under a thousandth: never worth a slice of its own
             wire::KeyLoad entry;
             entry.point = static_cast<int64_t>(key.point);
-            entry.busyMicrosPerSecond = perSecond(sure, load.over);
+            entry.busyMicrosPerSecond = perSecond(sure, load.period);
             report.hotKeys.push_back(entry);
         }
         return report;
@@ -144,16 +144,16 @@
     const Instant now = m_clock.now();
     RoutingUpdate update;
     for (const auto& [service, table] : m_view.tables()) {
-        const FreshUntil fresh { service, table->version, m_freshness.validUntil(service, now) };
-        FreshUntil& told = m_toldFresh[service];
+        const LeaseValidity fresh { service, table->version, m_freshness.validUntil(service, now) };
+        LeaseValidity& told = m_toldFresh[service];
         // Every answer moves the lease by a little; waking the routing thread for each would cost more than all
         // the beats.
-        if (fresh.tableVersion == told.tableVersion && fresh.until < told.until + worthTelling)
+        if (fresh.tableVersion == told.tableVersion && fresh.validUntil < told.validUntil + worthTelling)
             continue;
         told = fresh;
-        update.freshness.push_back(fresh);
+        update.leases.push_back(fresh);
     }
-    if (!update.freshness.empty())
+    if (!update.leases.empty())
         push(std::move(update));
 }
 
--- a/packages/control/Control.h
+++ b/packages/control/Control.h
@@ -54,7 +54,7 @@
     LoadBook m_loads;
     AssignerDriver m_assigner;
     bool m_configured = false; // the routing duty was told the whole view once
-    std::map<std::string, FreshUntil> m_toldFresh; // newest that the routing duty was told, by service
+    std::map<std::string, LeaseValidity> m_toldFresh; // newest that the routing duty was told, by service
     std::map<std::string, std::vector<Member>> m_toldRelays;
     bool m_pushFailed = false; // the ring was full: everything is sent again
 };
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -7,7 +7,7 @@
 #include "decisions/ServerIdentity.h"
 #include "decisions/ServerNotice.h"
 #include "resources/QuarantineCodec.h"
-#include "routing/Refusals.h"
+#include "routing/ErrorResponses.h"
 #include "routing/RequestHeaders.h"
 
 #include <algorithm>
@@ -281,7 +281,8 @@
 
 CallerResponse Gateway::refusal(ErrorKind kind)
 {
-    return Refusals(m_metrics, RetryAfterForm::Fractions).make(kind, spread(m_options.moveWait), false);
+    return ErrorResponses(m_metrics, RetryAfterFormat::FractionalSeconds)
+        .make(kind, withJitter(m_options.moveWait), false);
 }
 
 RetryBudget& Gateway::budgetOf(const std::string& service)
@@ -364,7 +365,7 @@
         if (job.presence.gone || !mayTryAgain(job, error))
             co_return refuse(job, error);
         if (job.sends)
-            co_await sleepFor(spread(retryPause)); // many that failed together don't come back together
+            co_await sleepFor(withJitter(retryPause)); // many that failed together don't come back together
     }
 }
 
@@ -856,7 +857,8 @@
     // 503 would promise that nothing ran.
     const ErrorKind told = job.maybeRan && answerFor(error).ran == Ran::No ? job.unknown : error;
     logRequest(job, "request-refused", told, job.tried.empty() ? std::string_view() : job.tried.back());
-    return Refusals(m_metrics, RetryAfterForm::Fractions).make(told, retryAfter(job, error), job.maybeRan);
+    return ErrorResponses(m_metrics, RetryAfterFormat::FractionalSeconds)
+        .make(told, retryAfter(job, error), job.maybeRan);
 }
 
 Millis Gateway::retryAfter(const Job& job, ErrorKind error)
@@ -866,22 +868,22 @@
     case ErrorKind::Overloaded:
     case ErrorKind::DeadlineBeforeSend: {
         const Located at = locate(job);
-        return spread(std::max(soon, at.server ? at.server->pool.expectedWait(job.priority) : soon));
+        return withJitter(std::max(soon, at.server ? at.server->pool.expectedWait(job.priority) : soon));
     }
     case ErrorKind::Moving:
-        return spread(soon);
+        return withJitter(soon);
     case ErrorKind::WarmingUp:
     case ErrorKind::ServerResting:
     case ErrorKind::ServerAtLimit: {
         // Those that come back then find the server ready, but shouldn't all come in its first moments.
         constexpr Millis over { 500 };
         if (job.readyAt == Instant::max())
-            return spread(m_options.moveWait);
+            return withJitter(m_options.moveWait);
         const Millis left = job.readyAt - m_clock.now();
         return std::max(soon, left) + randomBelow(over);
     }
     default:
-        return spread(m_options.moveWait);
+        return withJitter(m_options.moveWait);
     }
 }
 
--- a/packages/routing/Refusals.cpp
+++ b/packages/routing/ErrorResponses.cpp
@@ -1,4 +1,4 @@
-#include "routing/Refusals.h"
+#include "routing/ErrorResponses.h"
 
 #include "base/Random.h"
 #include "routing/RequestHeaders.h"
@@ -11,9 +11,9 @@
 
 namespace {
 
-    std::string retryAfterText(RetryAfterForm form, Millis time)
+    std::string retryAfterText(RetryAfterFormat format, Millis time)
     {
-        if (form == RetryAfterForm::WholeSeconds)
+        if (format == RetryAfterFormat::WholeSeconds)
             return std::to_string((time.count() + 999) / 1000);
         std::string millis = std::to_string(time.count() % 1000);
         millis.insert(0, 3 - millis.size(), '0');
@@ -22,21 +22,21 @@
 
 }
 
-Millis spread(Millis time) { return time + randomBelow(time); }
+Millis withJitter(Millis time) { return time + randomBelow(time); }
 
-CallerResponse Refusals::make(ErrorKind kind, Millis retryAfter, bool maybeRan) const
+CallerResponse ErrorResponses::make(ErrorKind kind, Millis retryAfter, bool maybeRan) const
 {
-    const ErrorAnswer& row = answerFor(kind);
+    const ErrorAnswer& answer = answerFor(kind);
     // The last try may surely not have run while an earlier one may have: the answer speaks for all tries.
-    const std::string ran(toString(maybeRan && row.ran == Ran::No ? Ran::Unknown : row.ran));
-    const std::string name(row.name);
+    const std::string ran(toString(maybeRan && answer.ran == Ran::No ? Ran::Unknown : answer.ran));
+    const std::string name(answer.name);
     m_metrics.counter("answers_" + name).add();
-    CallerResponse response { http::int_to_status(row.status), 11 };
+    CallerResponse response { http::int_to_status(answer.status), 11 };
     response.set(errorHeader, name);
     response.set(ranHeader, ran);
     response.set(http::field::content_type, "application/json");
-    if (row.retryAfter) {
-        response.set(http::field::retry_after, retryAfterText(m_form, retryAfter));
+    if (answer.retryAfter) {
+        response.set(http::field::retry_after, retryAfterText(m_format, retryAfter));
         response.set("Cumindale-Retry-After-Ms", std::to_string(retryAfter.count()));
     }
     response.body() = R"({"error":")" + name + R"(","ran":")" + ran + "\"}\n";
--- a/packages/routing/Refusals.h
+++ b/packages/routing/ErrorResponses.h
@@ -8,13 +8,13 @@
 namespace cumindale {
 
 // Whole seconds are what RFC 9110 allows; some platforms' clients also read fractions.
-enum class RetryAfterForm : uint8_t { WholeSeconds, Fractions };
+enum class RetryAfterFormat : uint8_t { WholeSeconds, FractionalSeconds };
 
-class Refusals {
+class ErrorResponses {
 public:
-    explicit Refusals(Metrics& metrics, RetryAfterForm form = RetryAfterForm::WholeSeconds)
+    explicit ErrorResponses(Metrics& metrics, RetryAfterFormat format = RetryAfterFormat::WholeSeconds)
         : m_metrics(metrics)
-        , m_form(form)
+        , m_format(format)
     {
     }
 
@@ -23,10 +23,10 @@
 
 private:
     Metrics& m_metrics;
-    RetryAfterForm m_form;
+    RetryAfterFormat m_format;
 };
 
 // At least the time, at most twice it: callers that were refused together don't come back together.
-Millis spread(Millis);
+Millis withJitter(Millis);
 
 }
--- a/packages/routing/Messages.h
+++ b/packages/routing/Messages.h
@@ -17,10 +17,10 @@
 namespace cumindale {
 
 // Until when the routing duty may dispatch by one version of a table.
-struct FreshUntil {
+struct LeaseValidity {
     std::string service;
     uint64_t tableVersion = 0; // it speaks of no other
-    Instant until;
+    Instant validUntil;
 };
 
 // Control to routing. Empty members mean "as before".
@@ -30,7 +30,7 @@
     std::shared_ptr<const Resources> resources;
     std::shared_ptr<const Roster> roster;
     std::shared_ptr<const SliceTable> table;
-    std::vector<FreshUntil> freshness;
+    std::vector<LeaseValidity> leases;
 };
 
 // Load of one service since the last report.
@@ -38,7 +38,7 @@
     uint64_t tableVersion = 0;
     std::map<size_t, uint64_t> busyMicros; // by slice index of that version; idle ones left out
     std::vector<HeavyKey> hotKeys; // heaviest first
-    Millis over { 0 }; // the time that it was measured over
+    Millis period { 0 }; // the time that it was measured over
 };
 
 // Routing to control: one snapshot of the dispatching thread.
--- a/packages/routing/RequestHeaders.cpp
+++ b/packages/routing/RequestHeaders.cpp
@@ -25,7 +25,7 @@
 
 std::string_view pathOf(std::string_view target) { return target.substr(0, target.find('?')); }
 
-std::string_view keyIn(const ServiceResource& service, const CallerRequest& request)
+std::string_view keyOf(const ServiceResource& service, const CallerRequest& request)
 {
     if (service.keySource == KeySource::Header)
         return request[service.keyHeader];
--- a/packages/routing/RequestHeaders.h
+++ b/packages/routing/RequestHeaders.h
@@ -21,7 +21,7 @@
 constexpr std::string_view relayedHeader = "Cumindale-Relayed"; // by a host that can't reach the owner
 
 std::string_view pathOf(std::string_view target); // without the query
-std::string_view keyIn(const ServiceResource&, const CallerRequest&); // empty if missing
+std::string_view keyOf(const ServiceResource&, const CallerRequest&); // empty if missing
 void stripForServer(CallerRequest&); // removes what is ours, or of the caller's connection only
 void stripForCaller(CallerResponse&); // removes what is of the server's connection only
 
--- a/packages/routing/Router.cpp
+++ b/packages/routing/Router.cpp
@@ -19,14 +19,14 @@
 
 namespace {
 
-    constexpr size_t hotKeysReported = 64;
-    constexpr Millis busyReportEvery { 20 }; // while slices are stopping
-    constexpr Millis quietReportEvery { 100 };
-    constexpr Millis loadReportEvery { 1'000 };
+    constexpr size_t maxReportedHotKeys = 64;
+    constexpr Millis stoppingReportInterval { 20 }; // while slices are stopping
+    constexpr Millis reportInterval { 100 };
+    constexpr Millis loadReportInterval { 1'000 };
     constexpr Millis connectTimeout { 500 };
-    constexpr Millis unreachablePause { 20 }; // before a server that refused a connection is tried again
-    constexpr Millis retryPause { 4 }; // at least, and up to as much again
-    constexpr unsigned mostTries = 4;
+    constexpr Millis unreachableRetryDelay { 20 }; // before a server that refused a connection is tried again
+    constexpr Millis retryDelay { 4 }; // at least, and up to as much again
+    constexpr unsigned maxAttempts = 4;
 
 }
 
@@ -43,7 +43,7 @@
     int64_t serverMicros = 0; // time spent in exchanges
     TraceContext trace;
     uint64_t parentSpan = 0;
-    unsigned tries = 0; // dispatches so far
+    unsigned attempts = 0; // dispatches so far
     bool maybeRan = false; // an earlier try may have run
     bool relayed = false; // came from a host that can't reach the owner: not relayed again
 };
@@ -56,11 +56,11 @@
     , m_metrics(metrics)
     , m_spans(spans)
     , m_report(std::move(report))
-    , m_refusals(metrics)
+    , m_errorResponses(metrics)
     , m_latency(metrics.distribution("request_total"))
-    , m_added(metrics.distribution("request_added"))
+    , m_addedLatency(metrics.distribution("request_added"))
     , m_resources(std::make_shared<Resources>())
-    , m_changed(executor)
+    , m_routingChanged(executor)
 {
 }
 
@@ -75,19 +75,19 @@
     if (update.relays)
         m_relays = std::move(*update.relays);
     if (update.roster)
-        m_hosts = std::max<size_t>(1, update.roster->activeMemberCount());
+        m_hostCount = std::max<size_t>(1, update.roster->activeMemberCount());
     if (update.resources)
         applyResources(std::move(update.resources));
     else if (update.roster && m_configured)
         applyResources(m_resources);
     if (update.table)
         adoptTable(std::move(update.table));
-    for (const auto& fresh : update.freshness) {
-        const auto route = m_routes.find(fresh.service);
-        if (route != m_routes.end() && route->second->table->version == fresh.tableVersion)
-            route->second->freshUntil = fresh.until;
+    for (const auto& lease : update.leases) {
+        const auto route = m_routes.find(lease.service);
+        if (route != m_routes.end() && route->second->table->version == lease.tableVersion)
+            route->second->leaseValidUntil = lease.validUntil;
     }
-    m_changed.notifyAll();
+    m_routingChanged.notifyAll();
 }
 
 void Router::applyResources(std::shared_ptr<const Resources> resources)
@@ -97,15 +97,16 @@
     std::erase_if(m_servers, [&](const auto& entry) { return !m_resources->servers.count(entry.first); });
     for (const auto& [name, resource] : m_resources->servers) {
         auto& server = m_servers[name];
-        const bool moved = server
+        const bool addressChanged = server
             && (server->pool.server().address != resource.address || server->pool.server().port != resource.port);
-        if (!server || moved) {
-            server = std::make_shared<ServerTarget>(m_executor, m_clock, resource, m_options.watch);
-            server->prober = std::make_shared<Prober>(m_executor, m_clock, m_options.host, resource.address,
-                resource.port, m_options.watch, server->pool.watch(), [this, name = name] { onSight(name); });
+        if (!server || addressChanged) {
+            server = std::make_shared<ServerTarget>(m_executor, m_clock, resource, m_options.monitor);
+            server->prober
+                = std::make_shared<Prober>(m_executor, m_clock, m_options.host, resource.address, resource.port,
+                    m_options.monitor, server->pool.watch(), [this, name = name] { onReachabilityChange(name); });
             server->prober->start();
         }
-        server->pool.update(resource, m_hosts);
+        server->pool.update(resource, m_hostCount);
     }
     for (auto& [name, route] : m_routes)
         bindServers(*route);
@@ -114,29 +115,29 @@
     reportNow();
 }
 
-void Router::onSight(const std::string& name)
+void Router::onReachabilityChange(const std::string& name)
 {
     const auto found = m_servers.find(name);
     if (found == m_servers.end())
         return;
     ServerTarget& server = *found->second;
-    const Reachability sight = server.pool.watch().reachability();
+    const Reachability reachability = server.pool.watch().reachability();
     const bool acceptsNewWork = server.pool.watch().acceptsNewWork();
     if (!acceptsNewWork) {
         server.pool.dropIdle();
         server.pool.evictQueue();
     }
-    if (sight == Reachability::Unresponsive) {
+    if (reachability == Reachability::Unresponsive) {
         // Answers may never come, another owner will give them. What is not idempotent waits on.
-        server.abandonOlderThan(Instant::max());
-    } else if (acceptsNewWork && !server.tookWork) {
+        server.abandonDispatchesBefore(Instant::max());
+    } else if (acceptsNewWork && !server.acceptedNewWork) {
         // A fresh connection answered after an old one had not: what hangs on old ones may hang for good.
-        server.abandonOlderThan(m_clock.now() - m_options.watch.probeTimeout);
+        server.abandonDispatchesBefore(m_clock.now() - m_options.monitor.probeTimeout);
     }
-    server.tookWork = acceptsNewWork;
-    if (sight == Reachability::Refused)
+    server.acceptedNewWork = acceptsNewWork;
+    if (reachability == Reachability::Refused)
         m_inFlight.serverGone(name);
-    m_changed.notifyAll();
+    m_routingChanged.notifyAll();
     reportNow();
 }
 
@@ -167,13 +168,13 @@
     }
 }
 
-Router::Located Router::locate(const std::string& service, uint64_t point) const
+Router::Destination Router::locate(const std::string& service, uint64_t point) const
 {
     const auto found = m_routes.find(service);
     if (found == m_routes.end())
         return { ErrorKind::NoOwner, nullptr };
     const ServiceRoute& route = *found->second;
-    if (m_clock.now() >= route.freshUntil)
+    if (m_clock.now() >= route.leaseValidUntil)
         return { ErrorKind::NotFresh, nullptr };
     const size_t index = route.index.indexOf(point);
     const Slice& slice = route.table->slices[index];
@@ -205,11 +206,11 @@
 {
     const Instant now = m_clock.now();
     return m_configured && std::all_of(m_routes.begin(), m_routes.end(), [now](const auto& entry) {
-        return now < entry.second->freshUntil;
+        return now < entry.second->leaseValidUntil;
     });
 }
 
-CallerResponse Router::refusal(ErrorKind kind) { return m_refusals.make(kind, spread(Millis(500)), false); }
+CallerResponse Router::refusal(ErrorKind kind) { return m_errorResponses.make(kind, withJitter(Millis(500)), false); }
 
 ErrorKind Router::prepare(CallerRequest& request, Job& job) const
 {
@@ -217,16 +218,17 @@
     job.service = job.resources->serviceForPath(pathOf(target));
     if (!job.service)
         return ErrorKind::UnknownService;
-    const std::string_view key = keyIn(*job.service, request);
+    const std::string_view key = keyOf(*job.service, request);
     if (key.empty())
         return ErrorKind::MissingKey;
-    if (key.size() > m_options.keyBytes)
+    if (key.size() > m_options.maxKeyBytes)
         return ErrorKind::KeyTooLong;
     job.point = pointOfKey(key);
     job.rule = ruleFor(*job.service, request.method_string(), pathOf(target));
     // A caller, or a host that relays, may have less time than the service's rule gives.
-    const int64_t patience = std::strtoll(std::string(request[timeoutHeader]).c_str(), nullptr, 10);
-    job.deadline = job.arrived + (patience > 0 ? std::min(job.rule.deadline, Millis(patience)) : job.rule.deadline);
+    const int64_t callerTimeout = std::strtoll(std::string(request[timeoutHeader]).c_str(), nullptr, 10);
+    job.deadline
+        = job.arrived + (callerTimeout > 0 ? std::min(job.rule.deadline, Millis(callerTimeout)) : job.rule.deadline);
     job.relayed = request.count(relayedHeader) > 0;
     const auto parent = parseTraceparent(request[traceHeader]);
     job.trace = parent ? *parent : TraceContext { randomNumber(), randomNumber(), 0 };
@@ -245,59 +247,59 @@
     if (fault != ErrorKind::None)
         co_return refusal(fault);
     m_budgets.at(job.service->name).deposit();
-    CallerResponse response = co_await run(job);
+    CallerResponse response = co_await runWithRetries(job);
     const int64_t total = m_clock.monotonicMicros() - job.arrivedMicros;
     m_latency.add(static_cast<double>(total));
-    m_added.add(static_cast<double>(total - job.serverMicros));
+    m_addedLatency.add(static_cast<double>(total - job.serverMicros));
     m_spans.add(
         { job.trace, job.parentSpan, "caller", m_options.host + " " + job.service->name, job.arrivedMicros, total });
     response.set("Cumindale-Trace-Id", traceId(job.trace));
     co_return response;
 }
 
-asio::awaitable<CallerResponse> Router::run(Job& job)
+asio::awaitable<CallerResponse> Router::runWithRetries(Job& job)
 {
     for (;;) {
         CallerResponse response;
-        const ErrorKind error = co_await tryOnce(job, response);
+        const ErrorKind error = co_await attempt(job, response);
         if (error == ErrorKind::None)
             co_return response;
         const bool timeLeft = m_clock.now() < job.deadline;
-        if (!timeLeft || job.presence.gone || !mayTryAgain(job, error))
-            co_return m_refusals.make(error, retryAfter(error, job), job.maybeRan);
-        if (job.tries)
-            co_await sleepFor(spread(retryPause)); // many that failed together don't come back together
+        if (!timeLeft || job.presence.gone || !mayRetry(job, error))
+            co_return m_errorResponses.make(error, retryAfter(error, job), job.maybeRan);
+        if (job.attempts)
+            co_await sleepFor(withJitter(retryDelay)); // many that failed together don't come back together
     }
 }
 
-bool Router::mayTryAgain(Job& job, ErrorKind error)
+bool Router::mayRetry(Job& job, ErrorKind error)
 {
     const ErrorAnswer& answer = answerFor(error);
     if (!answer.retryable)
         return false;
-    const bool surelyNot = answer.ran == Ran::No && !job.maybeRan;
-    if (!surelyNot && !job.rule.idempotent)
+    const bool certainlyNotRun = answer.ran == Ran::No && !job.maybeRan;
+    if (!certainlyNotRun && !job.rule.idempotent)
         return false;
     // Waiting for an owner is no try: only what reached for a server spends the budget.
     if (error == ErrorKind::NotFresh || error == ErrorKind::Moving || error == ErrorKind::NoOwner
         || error == ErrorKind::ServerUnreachable)
         return true;
-    return job.tries < mostTries && m_budgets.at(job.service->name).tryWithdraw();
+    return job.attempts < maxAttempts && m_budgets.at(job.service->name).tryWithdraw();
 }
 
 // --- One try
 
-asio::awaitable<ErrorKind> Router::tryOnce(Job& job, CallerResponse& response)
+asio::awaitable<ErrorKind> Router::attempt(Job& job, CallerResponse& response)
 {
     const std::string& service = job.service->name;
-    Located at = locate(service, job.point);
-    if (const Member* peer = relayFor(job, at))
+    Destination destination = locate(service, job.point);
+    if (const Member* peer = relayFor(job, destination))
         co_return co_await relay(job, *peer, response);
-    if (at.error != ErrorKind::None) {
-        co_await m_changed.wait(job.deadline - m_clock.now());
-        co_return at.error;
+    if (destination.error != ErrorKind::None) {
+        co_await m_routingChanged.wait(job.deadline - m_clock.now());
+        co_return destination.error;
     }
-    const auto server = at.server;
+    const auto server = destination.server;
     const int64_t queuedAt = m_clock.monotonicMicros();
     const auto admitted = co_await server->pool.admit(job.rule.priority, job.arrived, job.deadline);
     if (admitted == ServerPool::Admitted::Refused)
@@ -314,7 +316,7 @@
     auto connection = co_await server->pool.take(job.rule.idempotent, connectTimeout);
     if (!connection) {
         server->pool.release(job.rule.priority, Millis(0));
-        co_await m_changed.wait(unreachablePause);
+        co_await m_routingChanged.wait(unreachableRetryDelay);
         co_return ErrorKind::ServerUnreachable;
     }
     // The times first, then the check, then the send. A host that is stopped after the check sends a deadline that
@@ -322,30 +324,30 @@
     const SendTime time { m_clock.now(), m_clock.unixMillis() };
     // Last thing before the first byte: waiting for a slot or a connection may have outlived the table or its
     // freshness.
-    at = locate(service, job.point);
+    destination = locate(service, job.point);
     // With less than half of the usual work's time left it would most likely end as "unknown"; now it is a sure no.
-    const Millis leastTime = server->pool.admission().meanWork(job.rule.priority) / 2;
-    const bool tooLate = m_clock.now() + leastTime >= job.deadline;
-    if (at.error != ErrorKind::None || at.server != server || tooLate || job.presence.gone) {
+    const Millis minimumTime = server->pool.admission().meanWork(job.rule.priority) / 2;
+    const bool tooLate = m_clock.now() + minimumTime >= job.deadline;
+    if (destination.error != ErrorKind::None || destination.server != server || tooLate || job.presence.gone) {
         server->pool.release(job.rule.priority, Millis(0));
         server->pool.giveBack(std::move(connection));
-        co_return at.error != ErrorKind::None ? at.error
-            : at.server != server             ? ErrorKind::Moving
-                                              : ErrorKind::DeadlineBeforeSend;
+        co_return destination.error != ErrorKind::None ? destination.error
+            : destination.server != server             ? ErrorKind::Moving
+                                                       : ErrorKind::DeadlineBeforeSend;
     }
-    ExchangeResult result = co_await dispatch(job, at, time, *connection);
-    const int64_t took = m_clock.monotonicMicros() - startedAt;
-    server->pool.release(job.rule.priority, Millis((took + 999) / 1000));
+    ExchangeResult result = co_await dispatch(job, destination, time, *connection);
+    const int64_t tookMicros = m_clock.monotonicMicros() - startedAt;
+    server->pool.release(job.rule.priority, Millis((tookMicros + 999) / 1000));
     if (result.error != ErrorKind::None) {
         job.maybeRan = true;
         co_return result.error;
     }
-    const bool heldBack = !server->pool.watch().acceptsNewWork();
+    const bool wasBlocked = !server->pool.watch().acceptsNewWork();
     server->pool.watch().answered(m_clock.now());
-    if (heldBack)
-        m_changed.notifyAll();
+    if (wasBlocked)
+        m_routingChanged.notifyAll();
     server->pool.giveBack(std::move(connection));
-    countLoad(job, took);
+    recordLoad(job, tookMicros);
     if (result.response.result() == http::status::service_unavailable && result.response[ranHeader] == "no")
         co_return ErrorKind::ServerRefused;
     response = std::move(result.response);
@@ -355,17 +357,18 @@
 }
 
 asio::awaitable<ExchangeResult> Router::dispatch(
-    Job& job, const Located& at, SendTime time, BackendConnection& connection)
+    Job& job, const Destination& destination, SendTime time, BackendConnection& connection)
 {
     const Instant now = time.monotonic;
-    const Millis timeout = std::min<Millis>(job.deadline - now, at.workLimit); // the table's, which moves wait for
+    const Millis timeout
+        = std::min<Millis>(job.deadline - now, destination.workLimit); // the table's, which moves wait for
     const std::string requestId
-        = pointText(job.trace.traceLow) + "-" + pointText(job.trace.span) + "-" + std::to_string(job.tries);
+        = pointText(job.trace.traceLow) + "-" + pointText(job.trace.span) + "-" + std::to_string(job.attempts);
     const TraceContext span { job.trace.traceHigh, job.trace.traceLow, randomNumber() };
     CallerRequest& request = job.request;
     request.set(requestIdHeader, requestId);
-    request.set(fenceHeader, std::to_string(at.fence));
-    request.set(rangeHeader, pointText(at.firstPoint) + "-" + pointText(at.lastPoint));
+    request.set(fenceHeader, std::to_string(destination.fence));
+    request.set(rangeHeader, pointText(destination.firstPoint) + "-" + pointText(destination.lastPoint));
     // Absolute beside remaining: a request that sat in a socket buffer of a cut path or a frozen server must
     // not start its time anew when it is read at last.
     request.set(deadlineHeader, std::to_string(time.unixMillis + timeout.count()));
@@ -375,41 +378,41 @@
     request.erase(relayedHeader);
     request.keep_alive(true);
     request.prepare_payload();
-    ++job.tries;
+    ++job.attempts;
 
-    const ServerResource& server = at.server->pool.server();
+    const ServerResource& server = destination.server->pool.server();
     const DispatchId id = m_inFlight.add(job.service->name, server.name, job.point, now + timeout);
     const int64_t sentAt = m_clock.monotonicMicros();
     if (job.rule.idempotent) {
-        at.server->abandonable.emplace(&connection, now);
+        destination.server->abandonable.emplace(&connection, now);
         job.presence.whenGone = [&connection] { connection.abandon(); };
     }
     ExchangeResult result = co_await connection.exchange(request, timeout);
-    at.server->abandonable.erase(&connection);
+    destination.server->abandonable.erase(&connection);
     job.presence.whenGone = nullptr;
-    const int64_t took = m_clock.monotonicMicros() - sentAt;
-    job.serverMicros += took;
+    const int64_t tookMicros = m_clock.monotonicMicros() - sentAt;
+    job.serverMicros += tookMicros;
     if (result.ended) {
         m_inFlight.connectionEnded(id);
         // The prober may have seen the refusals first.
-        if (at.server->pool.watch().reachability() == Reachability::Refused)
+        if (destination.server->pool.watch().reachability() == Reachability::Refused)
             m_inFlight.serverGone(server.name);
     } else
         m_inFlight.answered(id);
     // A server that names the request it answers must name this one: otherwise its answer is somebody else's.
-    const std::string_view echoed = result.response[requestIdHeader];
-    if (result.error == ErrorKind::None && !echoed.empty() && echoed != requestId)
+    const std::string_view echoedId = result.response[requestIdHeader];
+    if (result.error == ErrorKind::None && !echoedId.empty() && echoedId != requestId)
         result.error = ErrorKind::BadAnswer;
     m_spans.add({ span, job.trace.span, "dispatch", server.name + " " + std::string(answerFor(result.error).name),
-        sentAt, took });
+        sentAt, tookMicros });
     co_return result;
 }
 
-const Member* Router::relayFor(const Job& job, const Located& at) const
+const Member* Router::relayFor(const Job& job, const Destination& destination) const
 {
-    if (at.error != ErrorKind::ServerUnreachable || job.relayed || !at.server)
+    if (destination.error != ErrorKind::ServerUnreachable || job.relayed || !destination.server)
         return nullptr;
-    const auto found = m_relays.find(at.server->pool.server().name);
+    const auto found = m_relays.find(destination.server->pool.server().name);
     if (found == m_relays.end() || found->second.empty())
         return nullptr;
     return &found->second[randomNumber() % found->second.size()];
@@ -419,30 +422,30 @@
 // passed on as it is, also what it says of the run.
 asio::awaitable<ErrorKind> Router::relay(Job& job, Member peer, CallerResponse& response)
 {
-    auto& slot = m_peers[peer.name];
+    auto& slot = m_peerPools[peer.name];
     if (!slot || slot->server().address != peer.address || slot->server().port != peer.callerPort) {
         ServerResource target;
         target.name = peer.name;
         target.address = peer.address;
         target.port = peer.callerPort;
-        slot = std::make_shared<ServerPool>(m_executor, m_clock, target, m_options.watch);
+        slot = std::make_shared<ServerPool>(m_executor, m_clock, target, m_options.monitor);
     }
     const auto pool = slot;
     auto connection = co_await pool->take(job.rule.idempotent, connectTimeout);
-    const Millis left = job.deadline - m_clock.now();
-    if (!connection || left.count() <= 0) {
-        co_await m_changed.wait(unreachablePause);
+    const Millis remaining = job.deadline - m_clock.now();
+    if (!connection || remaining.count() <= 0) {
+        co_await m_routingChanged.wait(unreachableRetryDelay);
         co_return ErrorKind::ServerUnreachable;
     }
     const TraceContext span { job.trace.traceHigh, job.trace.traceLow, randomNumber() };
     CallerRequest& request = job.request;
     request.set(relayedHeader, m_options.host);
-    request.set(timeoutHeader, std::to_string(left.count()));
+    request.set(timeoutHeader, std::to_string(remaining.count()));
     request.set(traceHeader, formatTraceparent(span));
     request.keep_alive(true);
     request.prepare_payload();
     const int64_t sentAt = m_clock.monotonicMicros();
-    ExchangeResult result = co_await connection->exchange(request, left);
+    ExchangeResult result = co_await connection->exchange(request, remaining);
     m_spans.add({ span, job.trace.span, "relay", peer.name, sentAt, m_clock.monotonicMicros() - sentAt });
     m_metrics.counter("requests_relayed").add();
     if (result.error != ErrorKind::None) {
@@ -454,7 +457,7 @@
     co_return ErrorKind::None;
 }
 
-void Router::countLoad(const Job& job, int64_t micros)
+void Router::recordLoad(const Job& job, int64_t micros)
 {
     const auto found = m_routes.find(job.service->name);
     if (found == m_routes.end())
@@ -468,18 +471,18 @@
 
 Millis Router::retryAfter(ErrorKind kind, const Job& job) const
 {
-    const Located at = locate(job.service->name, job.point);
+    const Destination destination = locate(job.service->name, job.point);
     switch (kind) {
     case ErrorKind::Overloaded:
     case ErrorKind::DeadlineBeforeSend:
-        return spread(at.server ? at.server->pool.expectedWait(job.rule.priority) : Millis(200));
+        return withJitter(destination.server ? destination.server->pool.expectedWait(job.rule.priority) : Millis(200));
     case ErrorKind::Moving:
     case ErrorKind::ServerUnreachable:
-        return spread(Millis(500));
+        return withJitter(Millis(500));
     case ErrorKind::NotFresh:
-        return spread(Millis(300));
+        return withJitter(Millis(300));
     default:
-        return spread(Millis(1000));
+        return withJitter(Millis(1000));
     }
 }
 
@@ -491,7 +494,7 @@
     report.resourcesRevision = m_resources->revision;
     for (const auto& [name, route] : m_routes) {
         report.adoptedTables[name] = route->table->version;
-        if (!route->stopping)
+        if (!route->hasStoppingSlices)
             continue;
         for (auto& busy : m_inFlight.busy(*route->table))
             report.busy.push_back(std::move(busy));
@@ -510,16 +513,16 @@
 asio::awaitable<void> Router::reportLoop()
 {
     for (;;) {
-        const bool stopping
-            = std::any_of(m_routes.begin(), m_routes.end(), [](const auto& entry) { return entry.second->stopping; });
-        const Millis pause = stopping ? busyReportEvery : quietReportEvery;
+        const bool stopping = std::any_of(
+            m_routes.begin(), m_routes.end(), [](const auto& entry) { return entry.second->hasStoppingSlices; });
+        const Millis pause = stopping ? stoppingReportInterval : reportInterval;
         co_await sleepFor(pause);
         const Instant now = m_clock.now();
         m_inFlight.removeExpired(now);
         RoutingReport report = makeReport();
-        if (now - m_lastLoadReport >= loadReportEvery) {
+        if (now - m_lastLoadReport >= loadReportInterval) {
             for (auto& [name, route] : m_routes) {
-                ServiceLoad load { route->table->version, {}, route->hotKeys.heaviest(hotKeysReported),
+                ServiceLoad load { route->table->version, {}, route->hotKeys.heaviest(maxReportedHotKeys),
                     now - m_lastLoadReport };
                 for (size_t i = 0; i < route->busyMicros.size(); ++i) {
                     if (route->busyMicros[i])
--- a/packages/routing/Router.h
+++ b/packages/routing/Router.h
@@ -9,8 +9,8 @@
 #include "callers/CallerServer.h"
 #include "decisions/InFlight.h"
 #include "decisions/RetryBudget.h"
+#include "routing/ErrorResponses.h"
 #include "routing/Messages.h"
-#include "routing/Refusals.h"
 #include "routing/ServiceRoute.h"
 #include "web/Signal.h"
 
@@ -23,8 +23,8 @@
 
 struct RouterOptions {
     std::string host; // this host's name
-    size_t keyBytes = 1'024; // longest key
-    MonitorOptions watch;
+    size_t maxKeyBytes = 1'024; // longest key
+    MonitorOptions monitor;
 };
 
 class Router final : public RequestHandler {
@@ -48,7 +48,7 @@
     struct Job; // one request on its way
 
     // Where a key's requests go now, or why they can't.
-    struct Located {
+    struct Destination {
         ErrorKind error = ErrorKind::None;
         std::shared_ptr<ServerTarget> server;
         uint64_t fence = 0;
@@ -64,20 +64,20 @@
     };
 
     void applyResources(std::shared_ptr<const Resources>);
-    void onSight(const std::string& server); // a probe changed what this host sees of it
+    void onReachabilityChange(const std::string& server); // a probe changed what this host sees of it
     void adoptTable(std::shared_ptr<const SliceTable>);
     void bindServers(ServiceRoute&);
-    Located locate(const std::string& service, uint64_t point) const;
+    Destination locate(const std::string& service, uint64_t point) const;
 
     ErrorKind prepare(CallerRequest&, Job&) const;
-    boost::asio::awaitable<CallerResponse> run(Job&);
-    boost::asio::awaitable<ErrorKind> tryOnce(Job&, CallerResponse&); // one dispatch, or why there was none
-    boost::asio::awaitable<ExchangeResult> dispatch(Job&, const Located&, SendTime, BackendConnection&);
-    const Member* relayFor(const Job&, const Located&) const; // a host that reaches the server, if any
+    boost::asio::awaitable<CallerResponse> runWithRetries(Job&);
+    boost::asio::awaitable<ErrorKind> attempt(Job&, CallerResponse&); // one dispatch, or why there was none
+    boost::asio::awaitable<ExchangeResult> dispatch(Job&, const Destination&, SendTime, BackendConnection&);
+    const Member* relayFor(const Job&, const Destination&) const; // a host that reaches the server, if any
     boost::asio::awaitable<ErrorKind> relay(Job&, Member, CallerResponse&);
-    bool mayTryAgain(Job&, ErrorKind);
+    bool mayRetry(Job&, ErrorKind);
     Millis retryAfter(ErrorKind, const Job&) const;
-    void countLoad(const Job&, int64_t micros);
+    void recordLoad(const Job&, int64_t micros);
 
     boost::asio::awaitable<void> reportLoop();
     void reportNow();
@@ -89,20 +89,20 @@
     Metrics& m_metrics;
     SpanLog& m_spans;
     ReportSink m_report;
-    Refusals m_refusals;
+    ErrorResponses m_errorResponses;
     Distribution& m_latency;
-    Distribution& m_added;
+    Distribution& m_addedLatency;
 
     bool m_configured = false; // has heard the configuration since it started
     std::shared_ptr<const Resources> m_resources;
-    size_t m_hosts = 1;
+    size_t m_hostCount = 1;
     std::map<std::string, std::shared_ptr<ServerTarget>> m_servers;
     std::map<std::string, std::unique_ptr<ServiceRoute>, std::less<>> m_routes;
     std::map<std::string, std::vector<Member>> m_relays; // by server that this host can't reach
-    std::map<std::string, std::shared_ptr<ServerPool>> m_peers; // pools to hosts that relay
+    std::map<std::string, std::shared_ptr<ServerPool>> m_peerPools; // pools to hosts that relay
     std::map<std::string, RetryBudget> m_budgets;
     InFlight m_inFlight;
-    Signal m_changed; // a table, freshness, or a server's sight changed
+    Signal m_routingChanged; // a table, freshness, or a server's sight changed
     Instant m_lastLoadReport {};
 };
 
--- a/packages/routing/ServiceRoute.cpp
+++ b/packages/routing/ServiceRoute.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-    constexpr size_t hotKeyCounters = 1'024;
+    constexpr size_t hotKeyCapacity = 1'024;
 
 }
 
 ServerTarget::ServerTarget(
-    boost::asio::any_io_executor executor, const Clock& clock, const ServerResource& resource, MonitorOptions watch)
-    : pool(std::move(executor), clock, resource, watch)
+    boost::asio::any_io_executor executor, const Clock& clock, const ServerResource& resource, MonitorOptions monitor)
+    : pool(std::move(executor), clock, resource, monitor)
 {
 }
 
@@ -22,10 +22,10 @@
         prober->stop();
 }
 
-void ServerTarget::abandonOlderThan(Instant limit)
+void ServerTarget::abandonDispatchesBefore(Instant limit)
 {
-    for (const auto& [connection, began] : abandonable) {
-        if (began < limit)
+    for (const auto& [connection, startedAt] : abandonable) {
+        if (startedAt < limit)
             connection->abandon();
     }
 }
@@ -33,10 +33,10 @@
 ServiceRoute::ServiceRoute(std::shared_ptr<const SliceTable> adopted)
     : table(std::move(adopted))
     , index(*table)
-    , stopping(std::any_of(table->slices.begin(), table->slices.end(),
+    , hasStoppingSlices(std::any_of(table->slices.begin(), table->slices.end(),
           [](const Slice& slice) { return slice.state == SliceState::Stopping; }))
     , busyMicros(table->slices.size(), 0)
-    , hotKeys(hotKeyCounters)
+    , hotKeys(hotKeyCapacity)
 {
 }
 
--- a/packages/routing/ServiceRoute.h
+++ b/packages/routing/ServiceRoute.h
@@ -17,11 +17,11 @@
     ServerTarget(boost::asio::any_io_executor, const Clock&, const ServerResource&, MonitorOptions);
     ~ServerTarget();
 
-    void abandonOlderThan(Instant); // idempotent requests under way that began before are tried elsewhere
+    void abandonDispatchesBefore(Instant); // idempotent requests under way that began before are tried elsewhere
 
     ServerPool pool;
     std::shared_ptr<Prober> prober;
-    bool tookWork = true; // as of the last probe
+    bool acceptedNewWork = true; // as of the last probe
     std::map<BackendConnection*, Instant> abandonable; // with idempotent requests under way, since when
 };
 
@@ -32,8 +32,8 @@
     std::shared_ptr<const SliceTable> table;
     SliceIndex index;
     std::vector<std::shared_ptr<ServerTarget>> servers; // by the table's server index; null if not declared
-    Instant freshUntil {};
-    bool stopping = false; // has stopping slices
+    Instant leaseValidUntil {};
+    bool hasStoppingSlices = false; // has stopping slices
     std::vector<uint64_t> busyMicros; // by slice, since the last load report
     HotKeys hotKeys;
 };
--- a/tests/callers_test.cpp
+++ b/tests/callers_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-CallerLimits smallLimits()
+CallerLimits reducedLimits()
 {
     CallerLimits limits;
     limits.headerBytes = 2'000;
@@ -37,7 +37,7 @@
 
 TEST_CASE("faulty requests get a clear error each, and the next one is served")
 {
-    RoutingFixture fixture(smallLimits(), 1'000'000);
+    RoutingFixture fixture(reducedLimits(), 1'000'000);
     expectRefused(fixture, "GET /tracing/x HTTP/1.1\r\nHost: h\r\n\r\n", 400, "missing-key");
     expectRefused(fixture, "GET /tracing/x HTTP/1.1\r\nHost: h\r\nCase-Key: " + std::string(65, 'k') + "\r\n\r\n", 400,
         "key-too-long");
@@ -50,7 +50,7 @@
 
 TEST_CASE("requests that two parsers could read differently are refused")
 {
-    RoutingFixture fixture(smallLimits());
+    RoutingFixture fixture(reducedLimits());
     const std::string twoLengths = "Content-Length: 5\r\nContent-Length: 6\r\n";
     expectRefused(fixture, RoutingFixture::request("POST", "x", twoLengths) + "hello", 400, "bad-request");
     const std::string lengthAndChunked = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n";
@@ -63,7 +63,7 @@
 
 TEST_CASE("trickled headers and bodies end with a clear time-out, silent connections are closed")
 {
-    RoutingFixture fixture(smallLimits());
+    RoutingFixture fixture(reducedLimits());
     expectRefused(fixture, "GET /tracing/x HTT", 408, "request-timeout");
     expectRefused(
         fixture, RoutingFixture::request("POST", "x", "Content-Length: 10\r\n") + "12345", 408, "request-timeout");
@@ -74,7 +74,7 @@
 {
     // A user would see a village upload cut after minutes: many uploads were taken in, and memory ran out in
     // their middle. The room is set aside when the headers arrive.
-    RoutingFixture fixture(smallLimits(), 1'000'000);
+    RoutingFixture fixture(reducedLimits(), 1'000'000);
     boost::asio::io_context context;
     boost::asio::ip::tcp::socket first(context);
     first.connect({ boost::asio::ip::make_address("127.0.0.1"), fixture.port() });
--- a/tests/truth_test.cpp
+++ b/tests/request_outcome_test.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 
-constexpr auto untilTrusted = std::chrono::milliseconds(1'100); // idle for longer than a claim trusts
+constexpr auto longerThanTrustedIdle = std::chrono::milliseconds(1'100); // idle for longer than a claim trusts
 
 // A clock of a host that is stopped for ten seconds whenever it is about to stamp a deadline.
-class StoppedAtTheStamp final : public Clock {
+class ClockPausedAtDeadlineStamp final : public Clock {
 public:
-    Instant now() const override { return m_system.now() + Millis(m_stopped); }
-    int64_t monotonicMicros() const override { return m_system.monotonicMicros() + m_stopped * 1000; }
+    Instant now() const override { return m_system.now() + Millis(m_pausedMillis); }
+    int64_t monotonicMicros() const override { return m_system.monotonicMicros() + m_pausedMillis * 1000; }
     int64_t unixMillis() const override
     {
-        m_stopped += 10'000;
-        return m_system.unixMillis() + m_stopped;
+        m_pausedMillis += 10'000;
+        return m_system.unixMillis() + m_pausedMillis;
     }
 
 private:
     SystemClock m_system;
-    mutable std::atomic<int64_t> m_stopped { 0 };
+    mutable std::atomic<int64_t> m_pausedMillis { 0 };
 };
 
 int64_t millisSince(std::chrono::steady_clock::time_point start)
@@ -38,7 +38,7 @@
     // A user would see a claim filed twice and the case frozen: the server ran it and died before its answer,
     // and the router tried another time.
     RoutingFixture fixture;
-    fixture.script({ Act::CloseBeforeAnswer });
+    fixture.setBehaviors({ ServerBehavior::CloseBeforeAnswer });
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 502);
     CHECK(answer.header("Cumindale-Ran") == "unknown");
@@ -47,9 +47,10 @@
 
 TEST_CASE("a lookup whose connection ends is tried again, and the caller sees one whole answer")
 {
-    for (const Act act : { Act::CloseBeforeAnswer, Act::CloseInAnswer, Act::LongerThanSaid }) {
+    for (const ServerBehavior behavior :
+        { ServerBehavior::CloseBeforeAnswer, ServerBehavior::CloseInAnswer, ServerBehavior::ShorterThanDeclared }) {
         RoutingFixture fixture;
-        fixture.script({ act });
+        fixture.setBehaviors({ behavior });
         const Answer answer = fixture.get();
         CHECK(answer.status == 200);
         CHECK(answer.body == "for n");
@@ -60,7 +61,7 @@
 TEST_CASE("half an answer to a claim is none")
 {
     RoutingFixture fixture;
-    fixture.script({ Act::CloseInAnswer });
+    fixture.setBehaviors({ ServerBehavior::CloseInAnswer });
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 502);
     CHECK(answer.header("Cumindale-Ran") == "unknown");
@@ -71,7 +72,7 @@
 {
     // A user would see another worker's pension history: two answers crossed inside a server.
     RoutingFixture fixture;
-    fixture.script({ Act::WrongRequestId });
+    fixture.setBehaviors({ ServerBehavior::WrongRequestId });
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 502);
     CHECK(answer.header("Cumindale-Error") == "bad-answer");
@@ -81,7 +82,7 @@
 TEST_CASE("a late answer is not taken for that of the next request")
 {
     RoutingFixture fixture;
-    fixture.script({ Act::Late });
+    fixture.setBehaviors({ ServerBehavior::AnswerAfterDeadline });
     const Answer late = fixture.post("claim");
     CHECK(late.status == 504);
     CHECK(late.header("Cumindale-Ran") == "unknown");
@@ -93,7 +94,7 @@
 TEST_CASE("bytes after an answer make its connection unfit for the next request")
 {
     RoutingFixture fixture;
-    fixture.script({ Act::ExtraBytes });
+    fixture.setBehaviors({ ServerBehavior::ExtraBytes });
     CHECK(fixture.get().body == "for n");
     CHECK(fixture.get().body == "for n");
 }
@@ -101,7 +102,7 @@
 TEST_CASE("a claim that the server refused is tried again; it ran once")
 {
     RoutingFixture fixture;
-    fixture.script({ Act::Refuse, Act::Refuse });
+    fixture.setBehaviors({ ServerBehavior::Refuse, ServerBehavior::Refuse });
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 200);
     CHECK(fixture.runs() == 1);
@@ -110,7 +111,7 @@
 TEST_CASE("refused by the server until the budget is spent: surely not run, and when to come back")
 {
     RoutingFixture fixture;
-    fixture.script(std::deque<Act>(100, Act::Refuse));
+    fixture.setBehaviors(std::deque<ServerBehavior>(100, ServerBehavior::Refuse));
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 503);
     CHECK(answer.header("Cumindale-Error") == "server-refused");
@@ -124,9 +125,9 @@
     // A user would be told "not run" of a lookup that ran: the first try lost its connection, the second was
     // refused, and only the second was reported.
     RoutingFixture fixture;
-    std::deque<Act> acts(100, Act::Refuse);
-    acts.front() = Act::CloseBeforeAnswer;
-    fixture.script(acts);
+    std::deque<ServerBehavior> behaviors(100, ServerBehavior::Refuse);
+    behaviors.front() = ServerBehavior::CloseBeforeAnswer;
+    fixture.setBehaviors(behaviors);
     const Answer answer = fixture.get();
     CHECK(answer.header("Cumindale-Error") == "server-refused");
     CHECK(answer.header("Cumindale-Ran") == "unknown");
@@ -175,7 +176,7 @@
     CHECK(fixture.post("claim").status == 200);
     CHECK(fixture.post("claim").status == 200);
     CHECK(fixture.serverConnections() == 1);
-    std::this_thread::sleep_for(untilTrusted);
+    std::this_thread::sleep_for(longerThanTrustedIdle);
     CHECK(fixture.post("claim").status == 200);
     CHECK(fixture.serverConnections() == 2);
 }
@@ -185,13 +186,13 @@
     // A user would see a server busy with work that nobody waits for: the caller had closed its connection long
     // ago, and the router held on to the server's slot until the deadline.
     RoutingFixture fixture;
-    fixture.script({ Act::Late });
-    fixture.sendAndLeave(RoutingFixture::request("GET", "lookup", ""));
+    fixture.setBehaviors({ ServerBehavior::AnswerAfterDeadline });
+    fixture.sendAndDisconnect(RoutingFixture::request("GET", "lookup", ""));
     std::this_thread::sleep_for(std::chrono::milliseconds(700));
     CHECK(fixture.cancelled() == 1);
     RoutingFixture another;
-    another.script({ Act::LateButInTime });
-    another.sendAndLeave(RoutingFixture::request("POST", "claim", "Content-Length: 1\r\n") + "c");
+    another.setBehaviors({ ServerBehavior::DelayedAnswer });
+    another.sendAndDisconnect(RoutingFixture::request("POST", "claim", "Content-Length: 1\r\n") + "c");
     std::this_thread::sleep_for(std::chrono::milliseconds(400));
     CHECK(another.runs() == 1);
     CHECK(another.cancelled() == 0);
@@ -216,7 +217,7 @@
 {
     // A user would see a claim run at a server that no longer owns its key: a host checked its lease, was stopped for
     // seconds, woke, and stamped the request with a deadline from then.
-    RoutingFixture fixture(std::make_shared<StoppedAtTheStamp>());
+    RoutingFixture fixture(std::make_shared<ClockPausedAtDeadlineStamp>());
     fixture.setTable(2, SliceState::Serving, Millis(1'000));
     const Answer answer = fixture.post("claim");
     CHECK(answer.header("Cumindale-Ran") == "no");
--- a/tests/routing_fixture.cpp
+++ b/tests/routing_fixture.cpp
@@ -11,8 +11,8 @@
 namespace {
 
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
-    constexpr Millis lateBy { 600 };
-    constexpr Millis lateInTime { 200 };
+    constexpr Millis lateAnswerDelay { 600 };
+    constexpr Millis delayedAnswerDelay { 200 };
 
     std::shared_ptr<Resources> resourcesFor(uint16_t port, uint64_t largestBody)
     {
@@ -61,14 +61,14 @@
 {
     const auto handler
         = [this](const ServedRequest& request, boost::beast::tcp_stream& stream) { return serve(request, stream); };
-    m_fake = std::make_unique<HttpServer>(m_context.get_executor(), "127.0.0.1", uint16_t(0), handler);
+    m_fakeServer = std::make_unique<HttpServer>(m_context.get_executor(), "127.0.0.1", uint16_t(0), handler);
     m_router = std::make_unique<Router>(
         m_context.get_executor(), *m_clock, RouterOptions { "host", 64 }, m_metrics, m_spans, [](RoutingReport) {});
     m_callers = std::make_unique<CallerServer>(
         m_context.get_executor(), *m_clock, "127.0.0.1", uint16_t(0), limits, *m_router, m_metrics);
     m_port = m_callers->port();
     RoutingUpdate update;
-    update.resources = resourcesFor(m_fake->port(), largestBody);
+    update.resources = resourcesFor(m_fakeServer->port(), largestBody);
     m_router->apply(update);
     m_thread = std::thread([this] { m_context.run(); });
     setTable(1, SliceState::Serving);
@@ -80,7 +80,7 @@
     m_thread.join();
 }
 
-void RoutingFixture::onThread(std::function<void()> task)
+void RoutingFixture::runOnRouterThread(std::function<void()> task)
 {
     std::promise<void> done;
     asio::post(m_context, [&] {
@@ -90,7 +90,7 @@
     done.get_future().wait();
 }
 
-void RoutingFixture::setTable(uint64_t version, SliceState state, Millis freshFor)
+void RoutingFixture::setTable(uint64_t version, SliceState state, Millis leaseDuration)
 {
     auto table = std::make_shared<SliceTable>();
     table->service = "tracing";
@@ -105,23 +105,23 @@
     slice.owner = state == SliceState::Unowned ? noServer : 0;
     slice.stoppedInVersion = state == SliceState::Stopping ? version : 0;
     table->slices.push_back(slice);
-    onThread([&] {
+    runOnRouterThread([&] {
         RoutingUpdate update;
         update.table = table;
-        update.freshness.push_back({ "tracing", version, m_clock->now() + freshFor });
+        update.leases.push_back({ "tracing", version, m_clock->now() + leaseDuration });
         m_router->apply(update);
     });
 }
 
 void RoutingFixture::stopServer()
 {
-    onThread([&] { m_fake->stop(); });
+    runOnRouterThread([&] { m_fakeServer->stop(); });
 }
 
-void RoutingFixture::script(std::deque<Act> acts)
+void RoutingFixture::setBehaviors(std::deque<ServerBehavior> behaviors)
 {
     std::lock_guard lock(m_mutex);
-    m_script = std::move(acts);
+    m_behaviors = std::move(behaviors);
 }
 
 std::string RoutingFixture::receivedHeader(const std::string& name)
@@ -135,48 +135,50 @@
 {
     if (request.target() == "/health")
         co_return makeResponse(200, "{}");
-    Act act = Act::Answer;
+    ServerBehavior behavior = ServerBehavior::Answer;
     {
         std::lock_guard lock(m_mutex);
         m_received.clear();
         for (const auto& field : request)
             m_received[std::string(field.name_string())] = std::string(field.value());
-        if (!m_script.empty()) {
-            act = m_script.front();
-            m_script.pop_front();
+        if (!m_behaviors.empty()) {
+            behavior = m_behaviors.front();
+            m_behaviors.pop_front();
         }
-        if (m_streams.insert(stream.socket().remote_endpoint().port()).second)
+        if (m_serverPeerPorts.insert(stream.socket().remote_endpoint().port()).second)
             ++m_connections;
     }
-    if (act == Act::Refuse) {
+    if (behavior == ServerBehavior::Refuse) {
         auto refusal = makeResponse(503, "{}");
         refusal.set("Cumindale-Ran", "no");
         co_return refusal;
     }
     ++m_runs;
-    if (act == Act::Late)
-        co_await sleepFor(lateBy);
-    if (act == Act::LateButInTime)
-        co_await sleepFor(lateInTime);
+    if (behavior == ServerBehavior::AnswerAfterDeadline)
+        co_await sleepFor(lateAnswerDelay);
+    if (behavior == ServerBehavior::DelayedAnswer)
+        co_await sleepFor(delayedAnswerDelay);
     char byte = 0;
     // An end or a reset: both tell the server that its caller has gone.
     const auto got = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (got == 0 || (got < 0 && errno == ECONNRESET))
         ++m_cancelled;
-    if (act == Act::CloseBeforeAnswer)
+    if (behavior == ServerBehavior::CloseBeforeAnswer)
         co_return std::nullopt;
     auto response = makeResponse(200, "for " + std::string(request["X-Nonce"]));
-    response.set("Cumindale-Request-Id", act == Act::WrongRequestId ? "another" : request["Cumindale-Request-Id"]);
-    if (act == Act::Answer || act == Act::Late || act == Act::LateButInTime || act == Act::WrongRequestId)
+    response.set("Cumindale-Request-Id",
+        behavior == ServerBehavior::WrongRequestId ? "another" : request["Cumindale-Request-Id"]);
+    if (behavior == ServerBehavior::Answer || behavior == ServerBehavior::AnswerAfterDeadline
+        || behavior == ServerBehavior::DelayedAnswer || behavior == ServerBehavior::WrongRequestId)
         co_return response;
     std::ostringstream raw;
-    if (act == Act::LongerThanSaid)
+    if (behavior == ServerBehavior::ShorterThanDeclared)
         response.set("Content-Length", "1000");
     raw << response;
     std::string bytes = raw.str();
-    if (act == Act::CloseInAnswer)
+    if (behavior == ServerBehavior::CloseInAnswer)
         bytes.resize(bytes.size() - 3);
-    if (act == Act::ExtraBytes)
+    if (behavior == ServerBehavior::ExtraBytes)
         bytes += "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate";
     co_await asio::async_write(stream, asio::buffer(bytes), token);
     co_return std::nullopt;
@@ -192,7 +194,7 @@
     return send(request("POST", "claim", "Content-Length: " + std::to_string(body.size()) + "\r\n") + body);
 }
 
-void RoutingFixture::sendAndLeave(const std::string& bytes) const
+void RoutingFixture::sendAndDisconnect(const std::string& bytes) const
 {
     asio::io_context context;
     tcp::socket socket(context);
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // Reads until the other side ends the connection, and says how it did.
-boost::system::error_code readToTheEnd(tcp::socket& socket)
+boost::system::error_code readUntilClosed(tcp::socket& socket)
 {
     std::array<char, 4096> bytes;
     boost::system::error_code error;
@@ -39,9 +39,9 @@
     std::thread clientThread([&] { context.run(); });
 
     tcp::socket server = acceptor.accept();
-    const auto end = readToTheEnd(server);
+    const auto closeReason = readUntilClosed(server);
     clientThread.join();
-    CHECK(end == asio::error::connection_reset);
+    CHECK(closeReason == asio::error::connection_reset);
     const HttpReply result = reply.get();
     CHECK(!result.arrived());
     CHECK(result.mayHaveArrived);
