--- a/packages/routing/ErrorResponses.cpp
+++ b/packages/routing/ErrorResponses.cpp
@@ -27,7 +27,7 @@
 CallerResponse ErrorResponses::make(ErrorKind kind, Millis retryAfter, bool maybeRan) const
 {
     const ErrorAnswer& answer = answerFor(kind);
-    // The last try may surely not have run while an earlier one may have: the answer speaks for all tries.
+    // `Cumindale-Ran` covers all attempts: an earlier one may have run although the last one certainly did not.
     const std::string ran(toString(maybeRan && answer.ran == Ran::No ? Ran::Unknown : answer.ran));
     const std::string name(answer.name);
     m_metrics.counter("answers_" + name).add();
--- a/packages/routing/ErrorResponses.h
+++ b/packages/routing/ErrorResponses.h
@@ -1,4 +1,4 @@
-// The answers that the system makes itself, from the one table of kinds.
+// Builds the error responses that a host itself sends to callers, from the table in base/ErrorKind.h.
 #pragma once
 
 #include "base/ErrorKind.h"
@@ -7,7 +7,8 @@
 
 namespace cumindale {
 
-// Whole seconds are what RFC 9110 allows; some platforms' clients also read fractions.
+// Format of the Retry-After header. RFC 9110 allows whole seconds only; the clients of some platforms also accept
+// fractions.
 enum class RetryAfterFormat : uint8_t { WholeSeconds, FractionalSeconds };
 
 class ErrorResponses {
@@ -18,7 +19,7 @@
     {
     }
 
-    // `maybeRan`: an earlier try of the same request may have run, whatever the last one says.
+    // `maybeRan`: an earlier attempt of the same request may have run, even if the last attempt certainly did not.
     CallerResponse make(ErrorKind, Millis retryAfter, bool maybeRan) const;
 
 private:
@@ -26,7 +27,7 @@
     RetryAfterFormat m_format;
 };
 
-// At least the time, at most twice it: callers that were refused together don't come back together.
+// Adds a random delay of up to the given time, so that callers that were refused at once don't all retry at once.
 Millis withJitter(Millis);
 
 }
--- a/packages/routing/RequestHeaders.h
+++ b/packages/routing/RequestHeaders.h
@@ -1,5 +1,5 @@
-// The headers by which hosts, callers and backend servers speak of a request, and where its key is.
-// docs/OPERATIONS.md describes them for users.
+// Headers that hosts, callers and backend servers add to requests and responses, and extraction of a request's key.
+// docs/OPERATIONS.md describes the headers for users.
 #pragma once
 
 #include "callers/CallerServer.h"
@@ -10,19 +10,19 @@
 namespace cumindale {
 
 constexpr std::string_view ranHeader = "Cumindale-Ran"; // yes, no, unknown
-constexpr std::string_view errorHeader = "Cumindale-Error"; // kind, on answers that the system makes itself
-constexpr std::string_view requestIdHeader = "Cumindale-Request-Id"; // of one dispatch; servers may echo it
-constexpr std::string_view fenceHeader = "Cumindale-Fence";
-constexpr std::string_view rangeHeader = "Cumindale-Range"; // first and last point of the slice
-constexpr std::string_view deadlineHeader = "Cumindale-Deadline"; // absolute, Unix ms
-constexpr std::string_view timeoutHeader = "Cumindale-Timeout-Ms"; // time left; a caller may give less than the rule
-constexpr std::string_view traceHeader = "traceparent";
-constexpr std::string_view hostHeader = "Cumindale-Host"; // who dispatched it
-constexpr std::string_view relayedHeader = "Cumindale-Relayed"; // by a host that can't reach the owner
+constexpr std::string_view errorHeader = "Cumindale-Error"; // error kind, on responses made by a host itself
+constexpr std::string_view requestIdHeader = "Cumindale-Request-Id"; // differs for each dispatch; servers may echo it
+constexpr std::string_view fenceHeader = "Cumindale-Fence"; // fencing token of the slice
+constexpr std::string_view rangeHeader = "Cumindale-Range"; // first and last point of the slice, both inclusive
+constexpr std::string_view deadlineHeader = "Cumindale-Deadline"; // absolute, in Unix milliseconds
+constexpr std::string_view timeoutHeader = "Cumindale-Timeout-Ms"; // time left; callers may set less than the rule
+constexpr std::string_view traceHeader = "traceparent"; // W3C Trace Context
+constexpr std::string_view hostHeader = "Cumindale-Host"; // host that dispatched the request
+constexpr std::string_view relayedHeader = "Cumindale-Relayed"; // relaying host, which can't reach the owner
 
-std::string_view pathOf(std::string_view target); // without the query
-std::string_view keyOf(const ServiceResource&, const CallerRequest&); // empty if missing
-void stripForServer(CallerRequest&); // removes what is ours, or of the caller's connection only
-void stripForCaller(CallerResponse&); // removes what is of the server's connection only
+std::string_view pathOf(std::string_view target); // target without its query string
+std::string_view keyOf(const ServiceResource&, const CallerRequest&); // empty if the key is missing
+void stripForServer(CallerRequest&); // removes internal and hop-by-hop headers
+void stripForCaller(CallerResponse&); // removes hop-by-hop headers
 
 }
--- a/packages/routing/Router.cpp
+++ b/packages/routing/Router.cpp
@@ -13,7 +13,7 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-// Sections: state, from control, requests, one try, answers, reports.
+// Sections: state, updates from control, requests, one attempt, retry delays, reports.
 
 // --- State
 
@@ -24,8 +24,8 @@
     constexpr Millis reportInterval { 100 };
     constexpr Millis loadReportInterval { 1'000 };
     constexpr Millis connectTimeout { 500 };
-    constexpr Millis unreachableRetryDelay { 20 }; // before a server that refused a connection is tried again
-    constexpr Millis retryDelay { 4 }; // at least, and up to as much again
+    constexpr Millis unreachableRetryDelay { 20 }; // after a failed connection attempt
+    constexpr Millis retryDelay { 4 }; // plus jitter of up to the same time
     constexpr unsigned maxAttempts = 4;
 
 }
@@ -40,12 +40,12 @@
     Instant arrived {};
     Instant deadline {};
     int64_t arrivedMicros = 0;
-    int64_t serverMicros = 0; // time spent in exchanges
+    int64_t serverMicros = 0; // total time of exchanges with servers
     TraceContext trace;
     uint64_t parentSpan = 0;
     unsigned attempts = 0; // dispatches so far
-    bool maybeRan = false; // an earlier try may have run
-    bool relayed = false; // came from a host that can't reach the owner: not relayed again
+    bool maybeRan = false; // an earlier attempt may have run
+    bool relayed = false; // received from a host that can't reach the owner; is not relayed again
 };
 
 Router::Router(asio::any_io_executor executor, const Clock& clock, RouterOptions options, Metrics& metrics,
@@ -68,7 +68,7 @@
 
 void Router::start() { spawnLoop(m_executor, "reports", reportLoop()); }
 
-// --- From control
+// --- Updates from control
 
 void Router::apply(RoutingUpdate update)
 {
@@ -128,10 +128,11 @@
         server.pool.evictQueue();
     }
     if (reachability == Reachability::Unresponsive) {
-        // Answers may never come, another owner will give them. What is not idempotent waits on.
+        // Responses may never arrive; idempotent requests are retried and reach the next owner. Other requests keep
+        // waiting for their responses.
         server.abandonDispatchesBefore(Instant::max());
     } else if (acceptsNewWork && !server.acceptedNewWork) {
-        // A fresh connection answered after an old one had not: what hangs on old ones may hang for good.
+        // A new connection got an answer after an old one got none: requests on old connections may never be answered.
         server.abandonDispatchesBefore(m_clock.now() - m_options.monitor.probeTimeout);
     }
     server.acceptedNewWork = acceptsNewWork;
@@ -144,10 +145,10 @@
 void Router::adoptTable(std::shared_ptr<const SliceTable> table)
 {
     auto& route = m_routes[table->service];
-    // Never a step back, whatever order messages come in.
+    // Tables may arrive out of order; an older version is ignored.
     if (route && route->table->version >= table->version)
         return;
-    // Queues stand at servers, and the keys that wait in them may have other owners now.
+    // Requests wait in a queue per server, but their keys may have other owners in the new table.
     if (route) {
         for (const auto& server : route->servers) {
             if (server)
@@ -193,7 +194,8 @@
 
 BodyRule Router::bodyRule(const CallerHeader& header)
 {
-    // A host that has just started knows no service yet: "unknown" would be final, and wrong.
+    // Before the configuration arrives no service is known. "Unknown service" would be wrong, and callers wouldn't
+    // retry.
     if (!m_configured)
         return { ErrorKind::NotFresh, 0 };
     const auto* service = m_resources->serviceForPath(pathOf(header.target()));
@@ -225,7 +227,7 @@
         return ErrorKind::KeyTooLong;
     job.point = pointOfKey(key);
     job.rule = ruleFor(*job.service, request.method_string(), pathOf(target));
-    // A caller, or a host that relays, may have less time than the service's rule gives.
+    // A caller or a relaying host may set a shorter timeout than the service's rule.
     const int64_t callerTimeout = std::strtoll(std::string(request[timeoutHeader]).c_str(), nullptr, 10);
     job.deadline
         = job.arrived + (callerTimeout > 0 ? std::min(job.rule.deadline, Millis(callerTimeout)) : job.rule.deadline);
@@ -268,7 +270,7 @@
         if (!timeLeft || job.presence.gone || !mayRetry(job, error))
             co_return m_errorResponses.make(error, retryAfter(error, job), job.maybeRan);
         if (job.attempts)
-            co_await sleepFor(withJitter(retryDelay)); // many that failed together don't come back together
+            co_await sleepFor(withJitter(retryDelay)); // requests that failed at once shouldn't all retry at once
     }
 }
 
@@ -280,14 +282,14 @@
     const bool certainlyNotRun = answer.ran == Ran::No && !job.maybeRan;
     if (!certainlyNotRun && !job.rule.idempotent)
         return false;
-    // Waiting for an owner is no try: only what reached for a server spends the budget.
+    // Waiting for a reachable owner is not a retry. Only attempts that contacted a server spend the retry budget.
     if (error == ErrorKind::NotFresh || error == ErrorKind::Moving || error == ErrorKind::NoOwner
         || error == ErrorKind::ServerUnreachable)
         return true;
     return job.attempts < maxAttempts && m_budgets.at(job.service->name).tryWithdraw();
 }
 
-// --- One try
+// --- One attempt
 
 asio::awaitable<ErrorKind> Router::attempt(Job& job, CallerResponse& response)
 {
@@ -319,13 +321,15 @@
         co_await m_routingChanged.wait(unreachableRetryDelay);
         co_return ErrorKind::ServerUnreachable;
     }
-    // The times first, then the check, then the send. A host that is stopped after the check sends a deadline that
-    // lies in the past when it wakes; stamped after the check, it would give old work a new life.
+    // The clocks are read before the check, and the request is sent after the check. If the process is paused after the
+    // check, the request then carries a deadline that has already passed. A deadline computed after the check would let
+    // the old request run.
     const SendTime time { m_clock.now(), m_clock.unixMillis() };
-    // Last thing before the first byte: waiting for a slot or a connection may have outlived the table or its
-    // freshness.
+    // This check is the last step before the first byte: the table may have changed or its lease expired while the
+    // request waited for a slot or a connection.
     destination = locate(service, job.point);
-    // With less than half of the usual work's time left it would most likely end as "unknown"; now it is a sure no.
+    // With less than half of the mean work time left, the request would most likely time out with `Cumindale-Ran:
+    // unknown`. Failing now reports with certainty that it did not run.
     const Millis minimumTime = server->pool.admission().meanWork(job.rule.priority) / 2;
     const bool tooLate = m_clock.now() + minimumTime >= job.deadline;
     if (destination.error != ErrorKind::None || destination.server != server || tooLate || job.presence.gone) {
@@ -360,8 +364,8 @@
     Job& job, const Destination& destination, SendTime time, BackendConnection& connection)
 {
     const Instant now = time.monotonic;
-    const Millis timeout
-        = std::min<Millis>(job.deadline - now, destination.workLimit); // the table's, which moves wait for
+    // Moves wait for the work limit of the table, so a dispatch must not take longer.
+    const Millis timeout = std::min<Millis>(job.deadline - now, destination.workLimit);
     const std::string requestId
         = pointText(job.trace.traceLow) + "-" + pointText(job.trace.span) + "-" + std::to_string(job.attempts);
     const TraceContext span { job.trace.traceHigh, job.trace.traceLow, randomNumber() };
@@ -369,8 +373,8 @@
     request.set(requestIdHeader, requestId);
     request.set(fenceHeader, std::to_string(destination.fence));
     request.set(rangeHeader, pointText(destination.firstPoint) + "-" + pointText(destination.lastPoint));
-    // Absolute beside remaining: a request that sat in a socket buffer of a cut path or a frozen server must
-    // not start its time anew when it is read at last.
+    // Both the absolute deadline and the remaining time are sent: a request that was held in a socket buffer by a
+    // network partition or a frozen server must not restart its time when it is finally read.
     request.set(deadlineHeader, std::to_string(time.unixMillis + timeout.count()));
     request.set(timeoutHeader, std::to_string(timeout.count()));
     request.set(traceHeader, formatTraceparent(span));
@@ -394,12 +398,12 @@
     job.serverMicros += tookMicros;
     if (result.ended) {
         m_inFlight.connectionEnded(id);
-        // The prober may have seen the refusals first.
+        // The prober may have detected refused connections before this connection ended.
         if (destination.server->pool.watch().reachability() == Reachability::Refused)
             m_inFlight.serverGone(server.name);
     } else
         m_inFlight.answered(id);
-    // A server that names the request it answers must name this one: otherwise its answer is somebody else's.
+    // A response that echoes a different request id belongs to another request.
     const std::string_view echoedId = result.response[requestIdHeader];
     if (result.error == ErrorKind::None && !echoedId.empty() && echoedId != requestId)
         result.error = ErrorKind::BadAnswer;
@@ -418,8 +422,8 @@
     return &found->second[randomNumber() % found->second.size()];
 }
 
-// The other host dispatches by its own table and lease, so nothing is in flight from here. What it answers is
-// passed on as it is, also what it says of the run.
+// The other host dispatches by its own table and lease, so this host has no dispatch in flight. The response is
+// passed on unchanged, including its `Cumindale-Ran` header.
 asio::awaitable<ErrorKind> Router::relay(Job& job, Member peer, CallerResponse& response)
 {
     auto& slot = m_peerPools[peer.name];
@@ -467,7 +471,7 @@
     route.hotKeys.add(job.point, static_cast<uint64_t>(micros));
 }
 
-// --- Answers
+// --- Retry delays
 
 Millis Router::retryAfter(ErrorKind kind, const Job& job) const
 {
--- a/packages/routing/Router.h
+++ b/packages/routing/Router.h
@@ -1,7 +1,8 @@
-// The routing duty: from a whole request to its answer.
+// Routes each complete request to the backend server that owns its key, and returns the response.
 //
-// Finds the key's owner in the table, checks freshness last thing before the first byte, waits for a slot,
-// dispatches, and decides whether another try is allowed. Everything here runs on one thread.
+// The router finds the key's owner in the slice table, waits for a slot and a connection, checks the owner and the
+// routing lease again immediately before it sends the first byte, and decides whether a failed attempt may be retried.
+// Everything here runs on the routing thread.
 #pragma once
 
 #include "base/Metrics.h"
@@ -23,7 +24,7 @@
 
 struct RouterOptions {
     std::string host; // this host's name
-    size_t maxKeyBytes = 1'024; // longest key
+    size_t maxKeyBytes = 1'024; // keys above this length are refused
     MonitorOptions monitor;
 };
 
@@ -34,9 +35,9 @@
     Router(boost::asio::any_io_executor, const Clock&, RouterOptions, Metrics&, SpanLog&, ReportSink);
     ~Router() override;
 
-    // --- From control
+    // --- From the control thread
     void apply(RoutingUpdate);
-    void start(); // begins to report
+    void start(); // starts the periodic reports
 
     // --- From callers
     BodyRule bodyRule(const CallerHeader&) override;
@@ -45,35 +46,35 @@
     bool ready() const override;
 
 private:
-    struct Job; // one request on its way
+    struct Job; // state of one request
 
-    // Where a key's requests go now, or why they can't.
+    // Current destination of a key's requests, or the reason why there is none.
     struct Destination {
         ErrorKind error = ErrorKind::None;
         std::shared_ptr<ServerTarget> server;
         uint64_t fence = 0;
         uint64_t firstPoint = 0;
         uint64_t lastPoint = 0;
-        Millis workLimit { 0 }; // of one dispatch
+        Millis workLimit { 0 }; // longest time that one dispatch may take
     };
 
-    // One moment on both clocks, taken before the last check of a dispatch.
+    // One instant on both clocks, read before the last check of a dispatch.
     struct SendTime {
         Instant monotonic {};
         int64_t unixMillis = 0;
     };
 
     void applyResources(std::shared_ptr<const Resources>);
-    void onReachabilityChange(const std::string& server); // a probe changed what this host sees of it
+    void onReachabilityChange(const std::string& server); // a probe changed the server's reachability
     void adoptTable(std::shared_ptr<const SliceTable>);
     void bindServers(ServiceRoute&);
     Destination locate(const std::string& service, uint64_t point) const;
 
     ErrorKind prepare(CallerRequest&, Job&) const;
     boost::asio::awaitable<CallerResponse> runWithRetries(Job&);
-    boost::asio::awaitable<ErrorKind> attempt(Job&, CallerResponse&); // one dispatch, or why there was none
+    boost::asio::awaitable<ErrorKind> attempt(Job&, CallerResponse&); // one dispatch; None if it set the response
     boost::asio::awaitable<ExchangeResult> dispatch(Job&, const Destination&, SendTime, BackendConnection&);
-    const Member* relayFor(const Job&, const Destination&) const; // a host that reaches the server, if any
+    const Member* relayFor(const Job&, const Destination&) const; // a host that can reach the server, or null
     boost::asio::awaitable<ErrorKind> relay(Job&, Member, CallerResponse&);
     bool mayRetry(Job&, ErrorKind);
     Millis retryAfter(ErrorKind, const Job&) const;
@@ -93,16 +94,16 @@
     Distribution& m_latency;
     Distribution& m_addedLatency;
 
-    bool m_configured = false; // has heard the configuration since it started
+    bool m_configured = false; // has received the configuration since the process started
     std::shared_ptr<const Resources> m_resources;
-    size_t m_hostCount = 1;
+    size_t m_hostCount = 1; // active members of the roster
     std::map<std::string, std::shared_ptr<ServerTarget>> m_servers;
     std::map<std::string, std::unique_ptr<ServiceRoute>, std::less<>> m_routes;
-    std::map<std::string, std::vector<Member>> m_relays; // by server that this host can't reach
-    std::map<std::string, std::shared_ptr<ServerPool>> m_peerPools; // pools to hosts that relay
-    std::map<std::string, RetryBudget> m_budgets;
+    std::map<std::string, std::vector<Member>> m_relays; // hosts that relay, by server that this host can't reach
+    std::map<std::string, std::shared_ptr<ServerPool>> m_peerPools; // connections to hosts that relay, by host
+    std::map<std::string, RetryBudget> m_budgets; // by service
     InFlight m_inFlight;
-    Signal m_routingChanged; // a table, freshness, or a server's sight changed
+    Signal m_routingChanged; // notified when a table, a routing lease or a server's reachability changes
     Instant m_lastLoadReport {};
 };
 
--- a/tests/callers_test.cpp
+++ b/tests/callers_test.cpp
@@ -1,4 +1,4 @@
-// Bad input at the callers' side: a clear error each, the process keeps serving, memory stays bounded.
+// Invalid requests from callers: each gets a specific error, the process keeps serving, and memory stays bounded.
 #include "routing_fixture.h"
 
 #include <boost/asio.hpp>
@@ -20,7 +20,7 @@
     return limits;
 }
 
-// The error and what it says of the run; then the next good request must still be served.
+// Expects the given error and `Cumindale-Ran: no`, and that the next valid request is still served.
 void expectRefused(RoutingFixture& fixture, const std::string& bytes, int status, const std::string& error)
 {
     CAPTURE(error);
@@ -35,7 +35,7 @@
 
 }
 
-TEST_CASE("faulty requests get a clear error each, and the next one is served")
+TEST_CASE("each invalid request gets a specific error, and the next request is served")
 {
     RoutingFixture fixture(reducedLimits(), 1'000'000);
     expectRefused(fixture, "GET /tracing/x HTTP/1.1\r\nHost: h\r\n\r\n", 400, "missing-key");
@@ -48,7 +48,7 @@
     expectRefused(fixture, "nonsense\r\n\r\n", 400, "bad-request");
 }
 
-TEST_CASE("requests that two parsers could read differently are refused")
+TEST_CASE("ambiguous requests that two parsers could read differently are refused")
 {
     RoutingFixture fixture(reducedLimits());
     const std::string twoLengths = "Content-Length: 5\r\nContent-Length: 6\r\n";
@@ -61,19 +61,19 @@
     expectRefused(fixture, RoutingFixture::request("POST", "x", twoEncodings) + "0\r\n\r\n", 400, "bad-request");
 }
 
-TEST_CASE("trickled headers and bodies end with a clear time-out, silent connections are closed")
+TEST_CASE("slow headers and bodies end with a request timeout, and idle connections are closed")
 {
     RoutingFixture fixture(reducedLimits());
     expectRefused(fixture, "GET /tracing/x HTT", 408, "request-timeout");
     expectRefused(
         fixture, RoutingFixture::request("POST", "x", "Content-Length: 10\r\n") + "12345", 408, "request-timeout");
-    CHECK(fixture.send("").status == 0); // closed without an answer: nothing was asked
+    CHECK(fixture.send("").status == 0); // closed without an answer: no request was sent
 }
 
-TEST_CASE("an upload without room for it is refused at its start, with when to come back")
+TEST_CASE("an upload that exceeds the memory budget is refused at its headers, with Retry-After")
 {
-    // A user would see a village upload cut after minutes: many uploads were taken in, and memory ran out in
-    // their middle. The room is set aside when the headers arrive.
+    // Guards against an upload that is cut off after minutes because too many uploads were accepted and memory ran out
+    // while they were being received. Memory for the body is reserved when the headers arrive.
     RoutingFixture fixture(reducedLimits(), 1'000'000);
     boost::asio::io_context context;
     boost::asio::ip::tcp::socket first(context);
@@ -86,13 +86,13 @@
     CHECK_FALSE(second.header("Retry-After").empty());
     first.close();
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
-    CHECK(fixture.post(std::string(900'000, 'u')).status == 200); // the room came back
+    CHECK(fixture.post(std::string(900'000, 'u')).status == 200); // the reserved memory was freed
 }
 
-TEST_CASE("an answer to HEAD carries no body, also one that the system makes itself")
+TEST_CASE("responses to HEAD have no body, including error responses of the router")
 {
-    // A user would see the answer of the request before: the refusal's body after a HEAD is read as the beginning
-    // of the next answer on the connection.
+    // Guards against a caller that receives the answer to an earlier request: a client reads the body of an error
+    // response to HEAD as the beginning of the next response on the connection.
     RoutingFixture fixture;
     for (const char* path : { "/other/x", "/tracing/x" }) {
         const Answer answer = fixture.send(std::string("HEAD ") + path + " HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -102,7 +102,7 @@
     }
 }
 
-TEST_CASE("a caller can't speak in the system's name")
+TEST_CASE("internal headers sent by a caller are ignored")
 {
     RoutingFixture fixture;
     const Answer answer = fixture.get("Cumindale-Fence: 999\r\nCumindale-Ran: no\r\nCumindale-Deadline: 1\r\n");
--- a/tests/request_outcome_test.cpp
+++ b/tests/request_outcome_test.cpp
@@ -1,4 +1,5 @@
-// Every request told the truth: what ran, ran at most once, and the answer is the caller's own and whole.
+// Correctness of answers: `Cumindale-Ran` is accurate, a non-idempotent request runs at most once, and a caller gets
+// only the complete answer to its own request.
 #include "routing_fixture.h"
 
 #include <doctest/doctest.h>
@@ -8,9 +9,10 @@
 
 namespace {
 
-constexpr auto longerThanTrustedIdle = std::chrono::milliseconds(1'100); // idle for longer than a claim trusts
+constexpr auto longerThanTrustedIdle = std::chrono::milliseconds(1'100); // idle limit for non-idempotent requests: 1 s
 
-// A clock of a host that is stopped for ten seconds whenever it is about to stamp a deadline.
+// Simulates a process that is paused for ten seconds at each reading of the wall clock, just before it computes a
+// deadline.
 class ClockPausedAtDeadlineStamp final : public Clock {
 public:
     Instant now() const override { return m_system.now() + Millis(m_pausedMillis); }
@@ -33,10 +35,10 @@
 
 }
 
-TEST_CASE("a claim whose connection ends without an answer is never sent again, and is told so")
+TEST_CASE("a claim whose connection ends without an answer is never retried, and is reported as unknown")
 {
-    // A user would see a claim filed twice and the case frozen: the server ran it and died before its answer,
-    // and the router tried another time.
+    // Guards against a claim that is filed twice: the server ran the claim and crashed before its answer, and the
+    // router retried the claim.
     RoutingFixture fixture;
     fixture.setBehaviors({ ServerBehavior::CloseBeforeAnswer });
     const Answer answer = fixture.post("claim");
@@ -45,7 +47,7 @@
     CHECK(fixture.runs() == 1);
 }
 
-TEST_CASE("a lookup whose connection ends is tried again, and the caller sees one whole answer")
+TEST_CASE("a lookup whose connection ends is retried, and the caller gets one complete answer")
 {
     for (const ServerBehavior behavior :
         { ServerBehavior::CloseBeforeAnswer, ServerBehavior::CloseInAnswer, ServerBehavior::ShorterThanDeclared }) {
@@ -58,7 +60,7 @@
     }
 }
 
-TEST_CASE("half an answer to a claim is none")
+TEST_CASE("an incomplete answer to a claim is not passed on")
 {
     RoutingFixture fixture;
     fixture.setBehaviors({ ServerBehavior::CloseInAnswer });
@@ -68,9 +70,9 @@
     CHECK(fixture.runs() == 1);
 }
 
-TEST_CASE("an answer that names another request reaches nobody")
+TEST_CASE("an answer with the id of another request is not passed on")
 {
-    // A user would see another worker's pension history: two answers crossed inside a server.
+    // Guards against disclosing another worker's pension history when a server swaps two answers.
     RoutingFixture fixture;
     fixture.setBehaviors({ ServerBehavior::WrongRequestId });
     const Answer answer = fixture.post("claim");
@@ -79,7 +81,7 @@
     CHECK(answer.header("Cumindale-Ran") == "unknown");
 }
 
-TEST_CASE("a late answer is not taken for that of the next request")
+TEST_CASE("a late answer is not matched to the next request")
 {
     RoutingFixture fixture;
     fixture.setBehaviors({ ServerBehavior::AnswerAfterDeadline });
@@ -88,10 +90,10 @@
     CHECK(late.header("Cumindale-Ran") == "unknown");
     std::this_thread::sleep_for(std::chrono::milliseconds(500)); // the late answer has arrived by now
     CHECK(fixture.get().body == "for n");
-    CHECK(fixture.serverConnections() >= 2); // a fresh one
+    CHECK(fixture.serverConnections() >= 2); // the timed-out connection was not reused
 }
 
-TEST_CASE("bytes after an answer make its connection unfit for the next request")
+TEST_CASE("a connection with unexpected bytes after an answer is not reused")
 {
     RoutingFixture fixture;
     fixture.setBehaviors({ ServerBehavior::ExtraBytes });
@@ -99,7 +101,7 @@
     CHECK(fixture.get().body == "for n");
 }
 
-TEST_CASE("a claim that the server refused is tried again; it ran once")
+TEST_CASE("a claim that the server refused is retried and runs once")
 {
     RoutingFixture fixture;
     fixture.setBehaviors({ ServerBehavior::Refuse, ServerBehavior::Refuse });
@@ -108,7 +110,7 @@
     CHECK(fixture.runs() == 1);
 }
 
-TEST_CASE("refused by the server until the budget is spent: surely not run, and when to come back")
+TEST_CASE("a claim refused until the retry budget is spent is reported as not run, with Retry-After")
 {
     RoutingFixture fixture;
     fixture.setBehaviors(std::deque<ServerBehavior>(100, ServerBehavior::Refuse));
@@ -120,9 +122,9 @@
     CHECK(fixture.runs() == 0);
 }
 
-TEST_CASE("a first try that may have run is not denied by a second that surely did not")
+TEST_CASE("a retry that certainly did not run does not hide a first attempt that may have run")
 {
-    // A user would be told "not run" of a lookup that ran: the first try lost its connection, the second was
+    // Guards against reporting "not run" for a lookup that ran: the first attempt lost its connection, the second was
     // refused, and only the second was reported.
     RoutingFixture fixture;
     std::deque<ServerBehavior> behaviors(100, ServerBehavior::Refuse);
@@ -133,7 +135,7 @@
     CHECK(answer.header("Cumindale-Ran") == "unknown");
 }
 
-TEST_CASE("with nothing listening the answer is a sure no, before the deadline is over by much")
+TEST_CASE("if the server refuses connections, the request is reported as not run soon after its deadline")
 {
     RoutingFixture fixture;
     fixture.stopServer();
@@ -144,7 +146,7 @@
     CHECK(millisSince(start) < 600); // deadline 300 ms
 }
 
-TEST_CASE("nothing is dispatched for a stopping slice, nor without a fresh lease")
+TEST_CASE("nothing is dispatched to a stopping slice or without a valid routing lease")
 {
     RoutingFixture fixture;
     fixture.setTable(2, SliceState::Stopping);
@@ -154,11 +156,11 @@
     CHECK(fixture.runs() == 0);
     fixture.setTable(4, SliceState::Serving);
     CHECK(fixture.post("claim").status == 200);
-    fixture.setTable(3, SliceState::Stopping); // an older table comes late
+    fixture.setTable(3, SliceState::Stopping); // an older table arrives late
     CHECK(fixture.post("claim").status == 200);
 }
 
-TEST_CASE("a request that waits for its owner is served as soon as there is one")
+TEST_CASE("a request that waits for an owner is served once the slice has one")
 {
     RoutingFixture fixture;
     fixture.setTable(2, SliceState::Stopping);
@@ -168,10 +170,10 @@
     CHECK(waiting.get().status == 200);
 }
 
-TEST_CASE("a claim goes over no connection that has been idle for more than a second")
+TEST_CASE("a claim is never sent over a connection that has been idle for more than a second")
 {
-    // A user would see "unknown" for a claim that went nowhere: something between the two ends had forgotten
-    // the idle connection, and its bytes vanished.
+    // Guards against reporting "unknown" for a claim that never reached the server: a device on the network path had
+    // dropped the state of the idle connection, and the request was lost.
     RoutingFixture fixture;
     CHECK(fixture.post("claim").status == 200);
     CHECK(fixture.post("claim").status == 200);
@@ -181,10 +183,10 @@
     CHECK(fixture.serverConnections() == 2);
 }
 
-TEST_CASE("a caller that goes away cancels a lookup, and never a claim")
+TEST_CASE("a caller that disconnects cancels a lookup, but never a claim")
 {
-    // A user would see a server busy with work that nobody waits for: the caller had closed its connection long
-    // ago, and the router held on to the server's slot until the deadline.
+    // Guards against a server that is busy with abandoned work: the caller had closed its connection, but the router
+    // held the server's slot until the deadline.
     RoutingFixture fixture;
     fixture.setBehaviors({ ServerBehavior::AnswerAfterDeadline });
     fixture.sendAndDisconnect(RoutingFixture::request("GET", "lookup", ""));
@@ -198,10 +200,10 @@
     CHECK(another.cancelled() == 0);
 }
 
-TEST_CASE("a host that has just started says neither that it is ready nor that a service is unknown")
+TEST_CASE("a host without configuration is not ready and does not report a service as unknown")
 {
-    // A user would see "unknown service" from a host that was replaced a moment ago: the balancer was told that it
-    // is ready, and it had not read the configuration yet.
+    // Guards against "unknown service" errors from a restarted host that reports ready to the load balancer before it
+    // has read the configuration.
     boost::asio::io_context context;
     const SystemClock clock;
     Metrics metrics;
@@ -213,10 +215,10 @@
     CHECK(router.bodyRule(request).error == ErrorKind::NotFresh);
 }
 
-TEST_CASE("a host that is stopped between its check and its send gives old work no new life")
+TEST_CASE("a host paused between its lease check and its send does not extend a request's deadline")
 {
-    // A user would see a claim run at a server that no longer owns its key: a host checked its lease, was stopped for
-    // seconds, woke, and stamped the request with a deadline from then.
+    // Guards against a claim that runs at a server that no longer owns its key: a host checked its lease, was paused
+    // for seconds, and computed the request's deadline only after it resumed.
     RoutingFixture fixture(std::make_shared<ClockPausedAtDeadlineStamp>());
     fixture.setTable(2, SliceState::Serving, Millis(1'000));
     const Answer answer = fixture.post("claim");
--- a/tests/routing_fixture.cpp
+++ b/tests/routing_fixture.cpp
@@ -159,7 +159,7 @@
     if (behavior == ServerBehavior::DelayedAnswer)
         co_await sleepFor(delayedAnswerDelay);
     char byte = 0;
-    // An end or a reset: both tell the server that its caller has gone.
+    // Either a closed or a reset connection tells the server that the request was cancelled.
     const auto got = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (got == 0 || (got < 0 && errno == ECONNRESET))
         ++m_cancelled;
--- a/tests/routing_fixture.h
+++ b/tests/routing_fixture.h
@@ -1,5 +1,5 @@
-// A router with its callers' side and one fake backend server, all on one thread of this process. The fake does
-// to each request what the test says.
+// A router, its caller-facing server and one fake backend server, all on one thread of this process. Tests choose the
+// behavior of the fake server for each request.
 #pragma once
 
 #include "base/Hash.h"
@@ -19,21 +19,21 @@
 
 namespace cumindale::fixture {
 
-// What the fake server does to one request.
+// How the fake server handles one request.
 enum class ServerBehavior {
     Answer,
-    CloseBeforeAnswer, // runs it, then ends the connection
-    CloseInAnswer, // runs it, sends half of the answer
-    WrongRequestId, // answers as if for another request
-    ExtraBytes, // answers, and sends more that nobody asked for
-    ShorterThanDeclared, // names a longer length than it sends, then ends
-    AnswerAfterDeadline, // answers after 600 ms, past the deadline
-    DelayedAnswer, // answers after 200 ms
-    Refuse, // does not run it, and says so
+    CloseBeforeAnswer, // runs the request, then closes the connection
+    CloseInAnswer, // runs the request, then closes the connection with the answer incomplete
+    WrongRequestId, // answers with the id of another request
+    ExtraBytes, // answers, then sends a second response that nobody requested
+    ShorterThanDeclared, // sends fewer bytes than Content-Length declares, then closes the connection
+    AnswerAfterDeadline, // answers after 600 ms; the deadline is 300 ms
+    DelayedAnswer, // answers after 200 ms, before the deadline
+    Refuse, // answers 503 without running the request, with `Cumindale-Ran: no`
 };
 
 struct Answer {
-    int status = 0; // 0: the connection ended without one
+    int status = 0; // HTTP status; 0: the connection was closed without an answer
     std::string head;
     std::string body;
 
@@ -46,16 +46,16 @@
     explicit RoutingFixture(std::shared_ptr<const Clock>);
     ~RoutingFixture();
 
-    void setBehaviors(std::deque<ServerBehavior> behaviors); // for the next requests; then Answer
-    size_t runs() const { return m_runs; } // requests that the fake ran
-    size_t cancelled() const { return m_cancelled; } // requests whose connection was ended while the fake worked
+    void setBehaviors(std::deque<ServerBehavior> behaviors); // for the next requests, in order; Answer after these
+    size_t runs() const { return m_runs; } // requests that the fake server ran
+    size_t cancelled() const { return m_cancelled; } // requests whose connection was closed while they ran
     size_t serverConnections() const { return m_connections; }
-    std::string receivedHeader(const std::string& name); // of the newest request at the fake
+    std::string receivedHeader(const std::string& name); // of the latest request at the fake server
     uint16_t port() const { return m_port; }
     void setTable(uint64_t version, SliceState, Millis leaseDuration = Millis(3'600'000));
-    void stopServer(); // nothing listens any more
+    void stopServer(); // connections are refused from now on
 
-    // Sends bytes to the callers' port and reads one answer, or until the connection ends.
+    // Sends bytes to the callers' port and reads until one answer is complete or the connection is closed.
     Answer send(const std::string& bytes) const;
     void sendAndDisconnect(const std::string& bytes) const; // closes after 50 ms
     Answer get(const std::string& more = "") const { return send(request("GET", "lookup", more)); }
@@ -79,7 +79,7 @@
     std::atomic<size_t> m_runs { 0 };
     std::atomic<size_t> m_connections { 0 };
     std::atomic<size_t> m_cancelled { 0 };
-    std::set<uint16_t> m_serverPeerPorts; // by the other end's port
+    std::set<uint16_t> m_serverPeerPorts; // source ports of the router's connections to the fake server
     std::unique_ptr<HttpServer> m_fakeServer;
     std::unique_ptr<Router> m_router;
     std::unique_ptr<CallerServer> m_callers;
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -1,4 +1,4 @@
-// What happens to bytes on the wire when a connection is given up.
+// Unsent bytes must be discarded when a call is abandoned.
 #include "web/HttpClient.h"
 
 #include <boost/asio.hpp>
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Reads until the other side ends the connection, and says how it did.
+// Reads until the peer closes the connection, and returns how the peer closed it.
 boost::system::error_code readUntilClosed(tcp::socket& socket)
 {
     std::array<char, 4096> bytes;
@@ -25,11 +25,11 @@
 
 }
 
-// A user sees two servers at work on one key. A grant is sent to a server that has just been cut off; it is given up
-// after its timeout, its hold is waited for, the key moves. The cut heals, the kernel delivers the old grant after
-// all, and the server takes it for a new one. Cause: the stream's own timeout closes the socket in the usual way, so
-// the kernel goes on trying to deliver what was written.
-TEST_CASE("a call that is given up resets its connection, so that it can't arrive later")
+// Guards against two servers that work on one key. A grant is sent to a server behind a network partition and times
+// out; after the grant's hold time the key moves. When the partition heals, the kernel would still deliver the old
+// grant, and the server would accept it as new: the stream's own timeout closes the socket normally, after which the
+// kernel keeps trying to deliver the bytes already written. A reset discards these bytes.
+TEST_CASE("an abandoned call resets its connection, so that the call can't arrive later")
 {
     asio::io_context context;
     tcp::acceptor acceptor(context, { asio::ip::make_address("127.0.0.1"), 0 });
