--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -283,7 +283,8 @@
 
 CallerResponse Gateway::refusal(ErrorKind kind)
 {
-    return Refusals(m_metrics, RetryAfterForm::Fractions).make(kind, spread(m_options.moveWait), false);
+    return ErrorResponses(m_metrics, RetryAfterFormat::FractionalSeconds)
+        .make(kind, withJitter(m_options.moveWait), false);
 }
 
 RetryBudget& Gateway::budgetOf(const std::string& service)
@@ -366,7 +367,7 @@
         if (job.presence.gone || !mayRetry(job, error))
             co_return refuse(job, error);
         if (job.sends)
-            co_await sleepFor(spread(retryPause)); // spread the retries of requests that failed together
+            co_await sleepFor(withJitter(retryPause)); // spread the retries of requests that failed together
     }
 }
 
@@ -862,7 +863,8 @@
     // would wrongly promise that the request did not run.
     const ErrorKind answered = job.maybeRan && answerFor(error).ran == Ran::No ? job.uncertainError : error;
     logRequest(job, "request-refused", answered, job.tried.empty() ? std::string_view() : job.tried.back());
-    return Refusals(m_metrics, RetryAfterForm::Fractions).make(answered, retryAfter(job, error), job.maybeRan);
+    return ErrorResponses(m_metrics, RetryAfterFormat::FractionalSeconds)
+        .make(answered, retryAfter(job, error), job.maybeRan);
 }
 
 Millis Gateway::retryAfter(const Job& job, ErrorKind error)
@@ -872,22 +874,23 @@
     case ErrorKind::Overloaded:
     case ErrorKind::DeadlineBeforeSend: {
         const Located at = locate(job);
-        return spread(std::max(minRetryAfter, at.server ? at.server->pool.expectedWait(job.priority) : minRetryAfter));
+        return withJitter(
+            std::max(minRetryAfter, at.server ? at.server->pool.expectedWait(job.priority) : minRetryAfter));
     }
     case ErrorKind::Moving:
-        return spread(minRetryAfter);
+        return withJitter(minRetryAfter);
     case ErrorKind::WarmingUp:
     case ErrorKind::ServerResting:
     case ErrorKind::ServerAtLimit: {
         // Callers should return when the server is ready, but not all at that moment.
         constexpr Millis jitter { 500 };
         if (job.readyAt == Instant::max())
-            return spread(m_options.moveWait);
+            return withJitter(m_options.moveWait);
         const Millis remaining = job.readyAt - m_clock.now();
         return std::max(minRetryAfter, remaining) + randomBelow(jitter);
     }
     default:
-        return spread(m_options.moveWait);
+        return withJitter(m_options.moveWait);
     }
 }
 
--- a/tests/truth_test.cpp
+++ b/tests/request_outcome_test.cpp
@@ -1,4 +1,5 @@
-// Every request told the truth: what ran, ran at most once, and the answer is the caller's own and whole.
+// Correctness of answers: `Cumindale-Ran` is accurate, a non-idempotent request runs at most once, and a caller gets
+// only the complete answer to its own request.
 #include "routing_fixture.h"
 
 #include <doctest/doctest.h>
@@ -8,22 +9,23 @@
 
 namespace {
 
-constexpr auto untilTrusted = std::chrono::milliseconds(1'100); // idle for longer than a claim trusts
+constexpr auto longerThanTrustedIdle = std::chrono::milliseconds(1'100); // idle limit for non-idempotent requests: 1 s
 
-// A clock of a host that is stopped for ten seconds whenever it is about to stamp a deadline.
-class StoppedAtTheStamp final : public Clock {
+// Simulates a process that is paused for ten seconds at each reading of the wall clock, just before it computes a
+// deadline.
+class ClockPausedAtDeadlineStamp final : public Clock {
 public:
-    Instant now() const override { return m_system.now() + Millis(m_stopped); }
-    int64_t monotonicMicros() const override { return m_system.monotonicMicros() + m_stopped * 1000; }
+    Instant now() const override { return m_system.now() + Millis(m_pausedMillis); }
+    int64_t monotonicMicros() const override { return m_system.monotonicMicros() + m_pausedMillis * 1000; }
     int64_t unixMillis() const override
     {
-        m_stopped += 10'000;
-        return m_system.unixMillis() + m_stopped;
+        m_pausedMillis += 10'000;
+        return m_system.unixMillis() + m_pausedMillis;
     }
 
 private:
     SystemClock m_system;
-    mutable std::atomic<int64_t> m_stopped { 0 };
+    mutable std::atomic<int64_t> m_pausedMillis { 0 };
 };
 
 int64_t millisSince(std::chrono::steady_clock::time_point start)
@@ -33,23 +35,24 @@
 
 }
 
-TEST_CASE("a claim whose connection ends without an answer is never sent again, and is told so")
+TEST_CASE("a claim whose connection ends without an answer is never retried, and is reported as unknown")
 {
-    // A user would see a claim filed twice and the case frozen: the server ran it and died before its answer,
-    // and the router tried another time.
+    // Guards against a claim that is filed twice: the server ran the claim and crashed before its answer, and the
+    // router retried the claim.
     RoutingFixture fixture;
-    fixture.script({ Act::CloseBeforeAnswer });
+    fixture.setBehaviors({ ServerBehavior::CloseBeforeAnswer });
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 502);
     CHECK(answer.header("Cumindale-Ran") == "unknown");
     CHECK(fixture.runs() == 1);
 }
 
-TEST_CASE("a lookup whose connection ends is tried again, and the caller sees one whole answer")
+TEST_CASE("a lookup whose connection ends is retried, and the caller gets one complete answer")
 {
-    for (const Act act : { Act::CloseBeforeAnswer, Act::CloseInAnswer, Act::LongerThanSaid }) {
+    for (const ServerBehavior behavior :
+        { ServerBehavior::CloseBeforeAnswer, ServerBehavior::CloseInAnswer, ServerBehavior::ShorterThanDeclared }) {
         RoutingFixture fixture;
-        fixture.script({ act });
+        fixture.setBehaviors({ behavior });
         const Answer answer = fixture.get();
         CHECK(answer.status == 200);
         CHECK(answer.body == "for n");
@@ -57,60 +60,60 @@
     }
 }
 
-TEST_CASE("half an answer to a claim is none")
+TEST_CASE("an incomplete answer to a claim is not passed on")
 {
     RoutingFixture fixture;
-    fixture.script({ Act::CloseInAnswer });
+    fixture.setBehaviors({ ServerBehavior::CloseInAnswer });
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 502);
     CHECK(answer.header("Cumindale-Ran") == "unknown");
     CHECK(fixture.runs() == 1);
 }
 
-TEST_CASE("an answer that names another request reaches nobody")
+TEST_CASE("an answer with the id of another request is not passed on")
 {
-    // A user would see another worker's pension history: two answers crossed inside a server.
+    // Guards against disclosing another worker's pension history when a server swaps two answers.
     RoutingFixture fixture;
-    fixture.script({ Act::WrongRequestId });
+    fixture.setBehaviors({ ServerBehavior::WrongRequestId });
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 502);
     CHECK(answer.header("Cumindale-Error") == "bad-answer");
     CHECK(answer.header("Cumindale-Ran") == "unknown");
 }
 
-TEST_CASE("a late answer is not taken for that of the next request")
+TEST_CASE("a late answer is not matched to the next request")
 {
     RoutingFixture fixture;
-    fixture.script({ Act::Late });
+    fixture.setBehaviors({ ServerBehavior::AnswerAfterDeadline });
     const Answer late = fixture.post("claim");
     CHECK(late.status == 504);
     CHECK(late.header("Cumindale-Ran") == "unknown");
     std::this_thread::sleep_for(std::chrono::milliseconds(500)); // the late answer has arrived by now
     CHECK(fixture.get().body == "for n");
-    CHECK(fixture.serverConnections() >= 2); // a fresh one
+    CHECK(fixture.serverConnections() >= 2); // the timed-out connection was not reused
 }
 
-TEST_CASE("bytes after an answer make its connection unfit for the next request")
+TEST_CASE("a connection with unexpected bytes after an answer is not reused")
 {
     RoutingFixture fixture;
-    fixture.script({ Act::ExtraBytes });
+    fixture.setBehaviors({ ServerBehavior::ExtraBytes });
     CHECK(fixture.get().body == "for n");
     CHECK(fixture.get().body == "for n");
 }
 
-TEST_CASE("a claim that the server refused is tried again; it ran once")
+TEST_CASE("a claim that the server refused is retried and runs once")
 {
     RoutingFixture fixture;
-    fixture.script({ Act::Refuse, Act::Refuse });
+    fixture.setBehaviors({ ServerBehavior::Refuse, ServerBehavior::Refuse });
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 200);
     CHECK(fixture.runs() == 1);
 }
 
-TEST_CASE("refused by the server until the budget is spent: surely not run, and when to come back")
+TEST_CASE("a claim refused until the retry budget is spent is reported as not run, with Retry-After")
 {
     RoutingFixture fixture;
-    fixture.script(std::deque<Act>(100, Act::Refuse));
+    fixture.setBehaviors(std::deque<ServerBehavior>(100, ServerBehavior::Refuse));
     const Answer answer = fixture.post("claim");
     CHECK(answer.status == 503);
     CHECK(answer.header("Cumindale-Error") == "server-refused");
@@ -119,20 +122,20 @@
     CHECK(fixture.runs() == 0);
 }
 
-TEST_CASE("a first try that may have run is not denied by a second that surely did not")
+TEST_CASE("a retry that certainly did not run does not hide a first attempt that may have run")
 {
-    // A user would be told "not run" of a lookup that ran: the first try lost its connection, the second was
+    // Guards against reporting "not run" for a lookup that ran: the first attempt lost its connection, the second was
     // refused, and only the second was reported.
     RoutingFixture fixture;
-    std::deque<Act> acts(100, Act::Refuse);
-    acts.front() = Act::CloseBeforeAnswer;
-    fixture.script(acts);
+    std::deque<ServerBehavior> behaviors(100, ServerBehavior::Refuse);
+    behaviors.front() = ServerBehavior::CloseBeforeAnswer;
+    fixture.setBehaviors(behaviors);
     const Answer answer = fixture.get();
     CHECK(answer.header("Cumindale-Error") == "server-refused");
     CHECK(answer.header("Cumindale-Ran") == "unknown");
 }
 
-TEST_CASE("with nothing listening the answer is a sure no, before the deadline is over by much")
+TEST_CASE("if the server refuses connections, the request is reported as not run soon after its deadline")
 {
     RoutingFixture fixture;
     fixture.stopServer();
@@ -143,7 +146,7 @@
     CHECK(millisSince(start) < 600); // deadline 300 ms
 }
 
-TEST_CASE("nothing is dispatched for a stopping slice, nor without a fresh lease")
+TEST_CASE("nothing is dispatched to a stopping slice or without a valid routing lease")
 {
     RoutingFixture fixture;
     fixture.setTable(2, SliceState::Stopping);
@@ -153,11 +156,11 @@
     CHECK(fixture.runs() == 0);
     fixture.setTable(4, SliceState::Serving);
     CHECK(fixture.post("claim").status == 200);
-    fixture.setTable(3, SliceState::Stopping); // an older table comes late
+    fixture.setTable(3, SliceState::Stopping); // an older table arrives late
     CHECK(fixture.post("claim").status == 200);
 }
 
-TEST_CASE("a request that waits for its owner is served as soon as there is one")
+TEST_CASE("a request that waits for an owner is served once the slice has one")
 {
     RoutingFixture fixture;
     fixture.setTable(2, SliceState::Stopping);
@@ -167,40 +170,40 @@
     CHECK(waiting.get().status == 200);
 }
 
-TEST_CASE("a claim goes over no connection that has been idle for more than a second")
+TEST_CASE("a claim is never sent over a connection that has been idle for more than a second")
 {
-    // A user would see "unknown" for a claim that went nowhere: something between the two ends had forgotten
-    // the idle connection, and its bytes vanished.
+    // Guards against reporting "unknown" for a claim that never reached the server: a device on the network path had
+    // dropped the state of the idle connection, and the request was lost.
     RoutingFixture fixture;
     CHECK(fixture.post("claim").status == 200);
     CHECK(fixture.post("claim").status == 200);
     CHECK(fixture.serverConnections() == 1);
-    std::this_thread::sleep_for(untilTrusted);
+    std::this_thread::sleep_for(longerThanTrustedIdle);
     CHECK(fixture.post("claim").status == 200);
     CHECK(fixture.serverConnections() == 2);
 }
 
-TEST_CASE("a caller that goes away cancels a lookup, and never a claim")
+TEST_CASE("a caller that disconnects cancels a lookup, but never a claim")
 {
-    // A user would see a server busy with work that nobody waits for: the caller had closed its connection long
-    // ago, and the router held on to the server's slot until the deadline.
+    // Guards against a server that is busy with abandoned work: the caller had closed its connection, but the router
+    // held the server's slot until the deadline.
     RoutingFixture fixture;
-    fixture.script({ Act::Late });
-    fixture.sendAndLeave(RoutingFixture::request("GET", "lookup", ""));
+    fixture.setBehaviors({ ServerBehavior::AnswerAfterDeadline });
+    fixture.sendAndDisconnect(RoutingFixture::request("GET", "lookup", ""));
     std::this_thread::sleep_for(std::chrono::milliseconds(700));
     CHECK(fixture.cancelled() == 1);
     RoutingFixture another;
-    another.script({ Act::LateButInTime });
-    another.sendAndLeave(RoutingFixture::request("POST", "claim", "Content-Length: 1\r\n") + "c");
+    another.setBehaviors({ ServerBehavior::DelayedAnswer });
+    another.sendAndDisconnect(RoutingFixture::request("POST", "claim", "Content-Length: 1\r\n") + "c");
     std::this_thread::sleep_for(std::chrono::milliseconds(400));
     CHECK(another.runs() == 1);
     CHECK(another.cancelled() == 0);
 }
 
-TEST_CASE("a host that has just started says neither that it is ready nor that a service is unknown")
+TEST_CASE("a host without configuration is not ready and does not report a service as unknown")
 {
-    // A user would see "unknown service" from a host that was replaced a moment ago: the balancer was told that it
-    // is ready, and it had not read the configuration yet.
+    // Guards against "unknown service" errors from a restarted host that reports ready to the load balancer before it
+    // has read the configuration.
     boost::asio::io_context context;
     const SystemClock clock;
     Metrics metrics;
@@ -212,11 +215,11 @@
     CHECK(router.bodyRule(request).error == ErrorKind::NotFresh);
 }
 
-TEST_CASE("a host that is stopped between its check and its send gives old work no new life")
+TEST_CASE("a host paused between its lease check and its send does not extend a request's deadline")
 {
-    // A user would see a claim run at a server that no longer owns its key: a host checked its lease, was stopped for
-    // seconds, woke, and stamped the request with a deadline from then.
-    RoutingFixture fixture(std::make_shared<StoppedAtTheStamp>());
+    // Guards against a claim that runs at a server that no longer owns its key: a host checked its lease, was paused
+    // for seconds, and computed the request's deadline only after it resumed.
+    RoutingFixture fixture(std::make_shared<ClockPausedAtDeadlineStamp>());
     fixture.setTable(2, SliceState::Serving, Millis(1'000));
     const Answer answer = fixture.post("claim");
     CHECK(answer.header("Cumindale-Ran") == "no");
