--- a/packages/gateway/Announcer.cpp
+++ b/packages/gateway/Announcer.cpp
@@ -13,15 +13,15 @@
 
     constexpr double centi = 100;
     // Of one table, told again to hosts that miss them: at one change each 0.4 s the last six seconds, some 20 kB.
-    constexpr size_t mostRecentChanges = 16;
+    constexpr size_t maxRecentChanges = 16;
 
     // The document of routes is told to every host: deflated it has a tenth of its megabyte. Plain, a relay with
     // ten members behind a small link would need longer than a configuration may take to be in force.
     ItemChange changeOf(const WatchEvent& event)
     {
-        constexpr size_t worthDeflating = 4'096; // bytes; entries of servers have some 300
+        constexpr size_t minBytesToDeflate = 4'096; // bytes; entries of servers have some 300
         ItemChange change { event.value.key, event.value.value, event.value.modRevision, event.erased };
-        if (change.value.size() > worthDeflating) {
+        if (change.value.size() > minBytesToDeflate) {
             change.plainBytes = change.value.size();
             change.value = deflated(change.value);
         }
@@ -51,35 +51,36 @@
 {
 }
 
-void Announcer::note(const wire::HostReport& report)
+void Announcer::updateHost(const wire::HostReport& report)
 {
-    m_news.note(report.sender, report.address, report.dataCentre, report.strengthCenti / centi);
+    m_news.updateHost(report.sender, report.address, report.dataCentre, report.strengthCenti / centi);
 }
 
-void Announcer::forget(std::string_view host) { m_news.forget(host); }
+void Announcer::removeHost(std::string_view host) { m_news.removeHost(host); }
 
-void Announcer::endOfOffice()
+void Announcer::onTermEnded()
 {
     m_news.clear();
     m_published.clear();
     m_recentChanges.clear();
 }
 
-void Announcer::changed(int64_t afterChange, int64_t lastChange, const std::vector<WatchEvent>& events, bool inOffice)
+void Announcer::onStoreChanges(
+    int64_t afterChange, int64_t lastChange, const std::vector<WatchEvent>& events, bool isLeader)
 {
     std::vector<ItemChange> changes;
     changes.reserve(events.size());
     for (const auto& event : events)
         changes.push_back(changeOf(event));
     m_history.add(afterChange, lastChange, changes);
-    if (!inOffice)
+    if (!isLeader)
         return;
     // News reach the hosts within a few ms, at no cost to the store.
     wire::News news;
     news.afterChange = afterChange;
     news.lastChange = lastChange;
     news.items = itemsOf(changes);
-    m_news.tell(news);
+    m_news.publish(news);
 }
 
 bool Announcer::hasPublished(const std::string& service, uint64_t edition) const
@@ -95,34 +96,34 @@
         m_published.emplace(table.service, table); // each host gets its first one with the answer to a report
         return;
     }
-    GrantTable& told = published->second;
+    GrantTable& latest = published->second;
     wire::News news;
-    news.tables.push_back(encodeGrantChange(changeBetween(told, table)));
-    m_news.tell(news);
+    news.tables.push_back(encodeGrantChange(changeBetween(latest, table)));
+    m_news.publish(news);
     auto& recent = m_recentChanges[table.service];
-    recent.push_back({ told.edition, news.tables.front() });
-    if (recent.size() > mostRecentChanges)
+    recent.push_back({ latest.edition, news.tables.front() });
+    if (recent.size() > maxRecentChanges)
         recent.pop_front();
-    told = table;
+    latest = table;
 }
 
-void Announcer::crowded(const std::vector<std::string>& servers)
+void Announcer::publishCrowded(const std::vector<std::string>& servers)
 {
     wire::News news;
     news.crowded = servers;
-    m_news.tell(news);
+    m_news.publish(news);
 }
 
-void Announcer::crashes(int64_t edition, std::vector<int64_t> suspects, std::vector<int64_t> quarantined)
+void Announcer::publishCrashes(int64_t edition, std::vector<int64_t> suspects, std::vector<int64_t> quarantined)
 {
     wire::News news;
     news.crashesEdition = edition;
     news.suspects = std::move(suspects);
     news.quarantined = std::move(quarantined);
-    m_news.tell(news);
+    m_news.publish(news);
 }
 
-void Announcer::bringUp(const wire::HostReport& report, const Tables& tables, wire::HostAdvice& advice) const
+void Announcer::addMissedChanges(const wire::HostReport& report, const Tables& tables, wire::HostAdvice& advice) const
 {
     // Instead of a reading of everything, which takes a small link longer than the next changes take to come.
     const auto missed = m_history.changesSince(report.lastChange);
@@ -138,12 +139,12 @@
             ? TableEdition {}
             : TableEdition { held->term, static_cast<uint64_t>(held->edition) };
         if (known < table->edition)
-            bringUpTable(*table, known, advice);
+            addTableUpdate(*table, known, advice);
     }
 }
 
 // Most hosts that know an older table miss its last change only, or it is on its way to them.
-void Announcer::bringUpTable(const GrantTable& table, const TableEdition& known, wire::HostAdvice& advice) const
+void Announcer::addTableUpdate(const GrantTable& table, const TableEdition& known, wire::HostAdvice& advice) const
 {
     const auto recent = m_recentChanges.find(table.service);
     if (recent != m_recentChanges.end()) {
@@ -152,7 +153,7 @@
             changes.begin(), changes.end(), [&](const RecentChange& candidate) { return candidate.from == known; });
         if (change != changes.end()) {
             for (; change != changes.end(); ++change)
-                advice.missed.tables.push_back(change->text);
+                advice.missed.tables.push_back(change->encoded);
             return;
         }
     }
--- a/packages/gateway/Announcer.h
+++ b/packages/gateway/Announcer.h
@@ -23,29 +23,29 @@
     Announcer(boost::asio::any_io_executor, const Clock&, Counter& bytesSent);
 
     // --- Who is told
-    void note(const wire::HostReport&);
-    void forget(std::string_view host);
-    void endOfOffice(); // nobody any more; what others wrote is still remembered
+    void updateHost(const wire::HostReport&);
+    void removeHost(std::string_view host);
+    void onTermEnded(); // nobody any more; what others wrote is still remembered
 
     // --- What is told
     // All writes of others after `afterChange`, up to `lastChange`. Out of office they are remembered only, so that a
     // new coordinator can tell hosts what its predecessor did not.
-    void changed(int64_t afterChange, int64_t lastChange, const std::vector<WatchEvent>&, bool inOffice);
+    void onStoreChanges(int64_t afterChange, int64_t lastChange, const std::vector<WatchEvent>&, bool isLeader);
     bool hasPublished(const std::string& service, uint64_t edition) const; // it or a later one, in this office
     void publish(const GrantTable&);
-    void crashes(int64_t edition, std::vector<int64_t> suspects, std::vector<int64_t> quarantined);
-    void crowded(const std::vector<std::string>& servers); // nothing goes there without a permit from now on
+    void publishCrashes(int64_t edition, std::vector<int64_t> suspects, std::vector<int64_t> quarantined);
+    void publishCrowded(const std::vector<std::string>& servers); // nothing goes there without a permit from now on
 
     // Adds what follows the change and the tables that the sender knows.
-    void bringUp(const wire::HostReport&, const Tables&, wire::HostAdvice&) const;
+    void addMissedChanges(const wire::HostReport&, const Tables&, wire::HostAdvice&) const;
 
 private:
     struct RecentChange {
         TableEdition from;
-        std::string text; // encoded
+        std::string encoded; // encoded
     };
 
-    void bringUpTable(const GrantTable&, const TableEdition& known, wire::HostAdvice&) const;
+    void addTableUpdate(const GrantTable&, const TableEdition& known, wire::HostAdvice&) const;
 
     NewsFanout m_news;
     ChangeHistory m_history;
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -18,11 +18,11 @@
 
 namespace {
 
-    constexpr Millis idleLook { 2'000 }; // out of office; the election wakes it
-    constexpr Millis cutOffAfter { 1'000 }; // most servers silent for so long: another host does it better
+    constexpr Millis standbyPollInterval { 2'000 }; // out of office; the election wakes it
+    constexpr Millis isolationTimeout { 1'000 }; // most servers silent for so long: another host does it better
     constexpr double centi = 100;
     // Of the requests a second that a server names: what is asked for its keys goes up and down.
-    constexpr double usedOfLimit = 0.7;
+    constexpr double usableLimitFraction = 0.7;
 
 }
 
@@ -35,17 +35,17 @@
     , m_store(store)
     , m_view(view)
     , m_election(election)
-    , m_sink(std::move(sink))
+    , m_tableSink(std::move(sink))
     , m_peerBytes(metrics.counter("peers_bytes_sent"))
     , m_orders(metrics.counter("grant_orders"))
     , m_ordersFailed(metrics.counter("grant_orders_failed"))
     , m_writes(metrics.counter("store_writes_tables"))
     , m_moves(metrics.counter("key_moves_planned"))
-    , m_crowdsTold(metrics.counter("server_crowds_told"))
-    , m_changed(executor)
+    , m_crowdedServersPublished(metrics.counter("server_crowds_told"))
+    , m_wakeUp(executor)
     , m_shares(m_options.shares, m_options.balance.requestMillis)
     , m_announcer(executor, clock, m_peerBytes)
-    , m_office(m_options.office)
+    , m_leadership(m_options.leadership)
 {
 }
 
@@ -54,9 +54,9 @@
 asio::awaitable<void> Coordinator::run()
 {
     for (;;) {
-        if (!inOffice()) {
+        if (!isLeader()) {
             endTerm();
-            co_await m_changed.wait(idleLook);
+            co_await m_wakeUp.wait(standbyPollInterval);
             continue;
         }
         if (m_term != m_election.term()) {
@@ -66,29 +66,29 @@
         }
         if (m_term)
             step();
-        co_await m_changed.wait(m_options.look);
+        co_await m_wakeUp.wait(m_options.stepInterval);
     }
 }
 
 // The view may know of a newer coordinator before the election's next word from the store: this host reports to that
 // one from then on, and must have stopped.
-bool Coordinator::inOffice() const { return m_election.holds() && m_view.leader().modRevision <= m_election.term(); }
+bool Coordinator::isLeader() const { return m_election.holds() && m_view.leader().modRevision <= m_election.term(); }
 
 bool Coordinator::readyForTerm() const { return m_view.revision() >= m_election.term() && m_view.rules(); }
 
 void Coordinator::beginTerm()
 {
     m_term = m_election.term();
-    m_silentSince = m_clock.now();
+    m_mostServersAnsweredAt = m_clock.now();
     m_lastBalance = m_clock.now();
-    m_listedAt = m_clock.now();
-    m_office = LeadershipRules(m_options.office);
-    m_office.setListedHosts(m_view.listedHosts());
+    m_hostListCheckedAt = m_clock.now();
+    m_leadership = LeadershipRules(m_options.leadership);
+    m_leadership.setListedHosts(m_view.listedHosts());
     for (const auto& request : m_view.quarantine())
         m_crashes.restore(request);
-    m_quarantineWritten = m_crashes.edition();
-    logChange(
-        LogLevel::Info, "coordination-begun", { { "term", m_term }, { "listedHosts", m_office.listedHosts().size() } });
+    m_writtenQuarantineEdition = m_crashes.edition();
+    logChange(LogLevel::Info, "coordination-begun",
+        { { "term", m_term }, { "listedHosts", m_leadership.listedHosts().size() } });
 }
 
 void Coordinator::endTerm()
@@ -99,17 +99,17 @@
     m_term = 0;
     m_plans.clear();
     m_registrations.clear();
-    m_formers.clear();
+    m_previousCoordinators.clear();
     m_loads.clear();
     m_servers.clear();
-    m_sayLeaving.clear();
+    m_reportedLeaving.clear();
     m_shares.clear();
     m_crashes.clear();
-    m_crashesEdition = 0;
-    m_suspectsTold.clear();
-    m_quarantinedTold.clear();
+    m_publishedCrashesEdition = 0;
+    m_publishedSuspects.clear();
+    m_publishedQuarantined.clear();
     m_hosts.clear();
-    m_announcer.endOfOffice();
+    m_announcer.onTermEnded();
 }
 
 void Coordinator::step()
@@ -117,12 +117,12 @@
     const Instant now = m_clock.now();
     // Without the store's word another host may have been elected meanwhile. Renewals go on for a while, since the
     // store may be away for all; a new coordinator waits as long for holders that it can't reach.
-    if (!m_office.mayAct(m_election.lastConfirmed(), now))
+    if (!m_leadership.mayAct(m_election.lastConfirmed(), now))
         return;
-    rememberServers();
-    ensurePlans();
+    updateServerAddresses();
+    createMissingPlans();
     const auto known = servers();
-    bool cutOff = false;
+    bool isolated = false;
     for (auto& [service, plan] : m_plans) {
         const RoutedService* rules = m_view.rules()->service(service);
         plan->avoidWarmingUpServers(rules && rules->warmUp.isSet());
@@ -136,40 +136,40 @@
             endTerm();
             return;
         }
-        cutOff |= plan->mostAreUnresponsive();
+        isolated |= plan->mostAreUnresponsive();
         publish(*plan);
     }
-    overtakeUnanswered();
-    if (!cutOff)
-        m_silentSince = now;
-    else if (now - m_silentSince > cutOffAfter) {
+    addSendersToStalledServers();
+    if (!isolated)
+        m_mostServersAnsweredAt = now;
+    else if (now - m_mostServersAnsweredAt > isolationTimeout) {
         logChange(LogLevel::Warning, "coordinator-cut-off", { { "term", m_term } });
         m_election.abandon();
         endTerm();
         return;
     }
-    tellCrashes(now, {});
-    writeWhatChanged();
-    if (now - m_lastBalance >= m_options.balanceEvery)
+    publishCrashes(now, {});
+    writeChanges();
+    if (now - m_lastBalance >= m_options.balanceInterval)
         balance();
 }
 
 // --- Plans
 
-void Coordinator::ensurePlans()
+void Coordinator::createMissingPlans()
 {
     const Instant now = m_clock.now();
     for (const auto& [name, service] : m_view.rules()->services()) {
         if (!service.keyed || m_plans.count(name))
             continue;
         const auto table = m_view.storedTable(name);
-        if (!table && !allRegistered(name))
+        if (!table && !registrationsSettled(name))
             continue;
         auto& plan = m_plans[name];
         plan = std::make_unique<GrantPlan>(name, m_options.grants, m_term);
         if (table) {
             plan->takeOver(*table, now);
-            m_formers[name] = table->coordinator;
+            m_previousCoordinators[name] = table->coordinator;
             // This host's own former term has ended here; what it had sent arrives soon or never.
             if (table->coordinator == m_options.host)
                 onPreviousStopped(name, now, "it was this host");
@@ -181,7 +181,7 @@
 
 // When everything starts at once, servers register one after the other. Dealt to the first ones alone, the keys would
 // have to move again at once, away from servers that are overloaded by then.
-bool Coordinator::allRegistered(const std::string& service)
+bool Coordinator::registrationsSettled(const std::string& service)
 {
     const Instant now = m_clock.now();
     size_t count = 0;
@@ -190,7 +190,7 @@
     auto& seen = m_registrations[service];
     if (seen.count != count)
         seen = { count, now };
-    return count && now - seen.since >= m_options.registrationPause;
+    return count && now - seen.since >= m_options.registrationQuietPeriod;
 }
 
 void Coordinator::publish(GrantPlan& plan)
@@ -201,7 +201,7 @@
     if (table.ranges.empty() || table.ranges.front().holder.empty())
         return;
     m_announcer.publish(table);
-    m_sink(std::move(table));
+    m_tableSink(std::move(table));
 }
 
 void Coordinator::onEvents(int64_t afterChange, const std::vector<WatchEvent>& events)
@@ -213,7 +213,7 @@
             others.push_back(event);
     }
     if (!others.empty())
-        m_announcer.changed(afterChange, m_view.lastChange(), others, m_term != 0);
+        m_announcer.onStoreChanges(afterChange, m_view.lastChange(), others, m_term != 0);
 }
 
 void Coordinator::logEvents(GrantPlan& plan)
@@ -229,7 +229,7 @@
 
 // --- Orders
 
-void Coordinator::rememberServers()
+void Coordinator::updateServerAddresses()
 {
     for (const auto& [id, server] : *m_view.servers()) {
         ServerState& state = m_servers[id];
@@ -238,7 +238,7 @@
     }
 }
 
-void Coordinator::rememberFormerIncarnation(const std::string& server)
+void Coordinator::useAddressOfLaterIncarnation(const std::string& server)
 {
     const auto servers = m_view.servers();
     const RegisteredServer* later = registeredIncarnation(*servers, serverNameOf(server));
@@ -255,14 +255,14 @@
     // A former incarnation of a registered server is asked to let go at that server: it holds nothing and says so at
     // once, where waiting for the former incarnation's hold would leave its keys without an owner for three seconds.
     if (known == m_servers.end() || !known->second.port)
-        rememberFormerIncarnation(server);
+        useAddressOfLaterIncarnation(server);
     const auto found = m_servers.find(server);
     if (found == m_servers.end() || !found->second.port)
         return nullptr;
     ServerState& state = found->second;
-    constexpr size_t mostIdle = 2; // renewals of its ranges in turn, and a release that waits for work to end
+    constexpr size_t maxIdleConnections = 2; // renewals of its ranges in turn, and a release that waits for work to end
     if (!state.client)
-        state.client = std::make_shared<HttpClient>(m_executor, state.address, state.port, mostIdle);
+        state.client = std::make_shared<HttpClient>(m_executor, state.address, state.port, maxIdleConnections);
     return state.client;
 }
 
@@ -270,7 +270,7 @@
 {
     // A release waits at the server until its work has ended; grants for the same server must not wait for it.
     if (order.kind == GrantOrder::Kind::Release) {
-        asio::co_spawn(m_executor, carryOut(std::move(order), m_term, service), asio::detached);
+        asio::co_spawn(m_executor, executeOrder(std::move(order), m_term, service), asio::detached);
         return;
     }
     // Grants for one server go one after the other over one connection: sent at once they would open one for each
@@ -285,20 +285,20 @@
 void Coordinator::startSender(const std::string& server, ServerState& state)
 {
     ++state.senders;
-    state.sentAt = m_clock.now();
+    state.lastSentAt = m_clock.now();
     asio::co_spawn(m_executor, sendGrants(server, m_term), asio::detached);
 }
 
 // Answers to orders get lost now and then, and each holds its connection up until it is given up. The orders behind it
 // must not wait so long: with half of the answers lost, a server's ranges would lapse one after the other.
-void Coordinator::overtakeUnanswered()
+void Coordinator::addSendersToStalledServers()
 {
-    constexpr Millis answersWithin { 100 }; // most orders are answered within a few ms
-    constexpr unsigned mostSenders = 6; // connections to a server that doesn't answer at all
+    constexpr Millis stallTimeout { 100 }; // most orders are answered within a few ms
+    constexpr unsigned maxSenders = 6; // connections to a server that doesn't answer at all
     const Instant now = m_clock.now();
     for (auto& [server, state] : m_servers) {
-        const bool stuck = state.senders && !state.grants.empty() && now - state.sentAt > answersWithin;
-        if (stuck && state.senders < mostSenders)
+        const bool stalled = state.senders && !state.grants.empty() && now - state.lastSentAt > stallTimeout;
+        if (stalled && state.senders < maxSenders)
             startSender(server, state);
     }
 }
@@ -313,8 +313,8 @@
         }
         auto next = std::move(state.grants.front());
         state.grants.pop_front();
-        state.sentAt = m_clock.now();
-        co_await carryOut(std::move(next.first), term, std::move(next.second));
+        state.lastSentAt = m_clock.now();
+        co_await executeOrder(std::move(next.first), term, std::move(next.second));
     }
 }
 
@@ -325,7 +325,7 @@
     return plan == m_plans.end() ? std::nullopt : plan->second->fenceToSend(order, newConnection);
 }
 
-asio::awaitable<void> Coordinator::carryOut(GrantOrder order, int64_t term, std::string service)
+asio::awaitable<void> Coordinator::executeOrder(GrantOrder order, int64_t term, std::string service)
 {
     m_orders.add();
     OrderAnswer answer { order.range, order.number };
@@ -366,9 +366,9 @@
     plan->second->onAnswer(answer);
     // A renewal changes nothing that can't wait for the next look. Looking over all ranges after each of them costs a
     // coordinator of hundreds of hosts more than everything else that it does.
-    const bool moves = order.kind == GrantOrder::Kind::Release || plan->second->edition() != before;
-    if (moves || plan->second->deposed())
-        m_changed.notifyAll();
+    const bool urgent = order.kind == GrantOrder::Kind::Release || plan->second->edition() != before;
+    if (urgent || plan->second->deposed())
+        m_wakeUp.notifyAll();
 }
 
 // --- Writes
@@ -377,9 +377,9 @@
 
     // Built outside the coroutine: g++ 12 destroys lists of temporaries inside one twice.
     std::vector<Compare> conditionsFor(
-        const Compare& office, const std::vector<GrantTable>& tables, const PlatformView& view)
+        const Compare& leadership, const std::vector<GrantTable>& tables, const PlatformView& view)
     {
-        std::vector<Compare> conditions { office };
+        std::vector<Compare> conditions { leadership };
         conditions.reserve(tables.size() + 1);
         for (const auto& table : tables) {
             const std::string key = grantTableKey(table.service);
@@ -404,33 +404,33 @@
 
 }
 
-std::set<std::string, std::less<>> Coordinator::hostsToList() const
+std::set<std::string, std::less<>> Coordinator::changedHostList() const
 {
     std::set<std::string, std::less<>> hosts;
     for (const auto& [name, host] : m_hosts)
         hosts.insert(name);
-    if (hosts == m_office.listedHosts())
+    if (hosts == m_leadership.listedHosts())
         hosts.clear();
     return hosts;
 }
 
-void Coordinator::writeWhatChanged()
+void Coordinator::writeChanges()
 {
     if (m_writing)
         return;
     const Instant now = m_clock.now();
-    Writing writing;
+    PendingWrite writing;
     for (const auto& [service, plan] : m_plans) {
         if (plan->needsWrite(now))
             writing.tables.push_back(tableOf(*plan));
     }
     // Hosts come in one after the other: their list is written with a table, or alone after a while.
-    const bool overdue = now - m_listedAt >= m_options.listEvery;
+    const bool overdue = now - m_hostListCheckedAt >= m_options.hostListWriteInterval;
     if (!writing.tables.empty() || overdue)
-        writing.hosts = hostsToList();
+        writing.hosts = changedHostList();
     if (overdue)
-        m_listedAt = now;
-    if (m_crashes.edition() != m_quarantineWritten) {
+        m_hostListCheckedAt = now;
+    if (m_crashes.edition() != m_writtenQuarantineEdition) {
         writing.quarantine = encodeQuarantine(m_crashes.quarantined(now), now, m_clock.unixMillis());
         writing.quarantineEdition = m_crashes.edition();
     }
@@ -460,7 +460,7 @@
     co_return all ? revision : 0;
 }
 
-asio::awaitable<void> Coordinator::write(Writing writing, int64_t term)
+asio::awaitable<void> Coordinator::write(PendingWrite writing, int64_t term)
 {
     const auto conditions = conditionsFor(m_election.fence(), writing.tables, m_view);
     const auto writes = writesOf(writing.tables, writing.hosts, writing.quarantine);
@@ -481,12 +481,12 @@
             plan->second->onWritten(table.edition.edition, now);
     }
     if (writing.quarantine)
-        m_quarantineWritten = writing.quarantineEdition;
+        m_writtenQuarantineEdition = writing.quarantineEdition;
     if (!writing.hosts.empty()) {
         m_view.noteListed(writing.hosts, revision);
-        m_office.setListedHosts(std::move(writing.hosts));
+        m_leadership.setListedHosts(std::move(writing.hosts));
     }
-    m_changed.notifyAll();
+    m_wakeUp.notifyAll();
 }
 
 // --- Balance
@@ -502,7 +502,7 @@
 
 }
 
-double Coordinator::meanLifeSeconds() const
+double Coordinator::loadLifetimeSeconds() const
 {
     return static_cast<double>(m_options.loadHalfLife.count()) / 1000 / std::log(2.0);
 }
@@ -536,13 +536,13 @@
             continue;
         // Servers differ in speed: one that takes longer for its work gets less of it. Bounded, since few requests may
         // look slow or quick by chance.
-        constexpr double slowest = 0.4;
-        constexpr double fastest = 2;
+        constexpr double minSpeed = 0.4;
+        constexpr double maxSpeed = 2;
         const double work = m_shares.workMillis(id);
-        const double speed = work > 0 ? std::clamp(mean / work, slowest, fastest) : 1;
+        const double speed = work > 0 ? std::clamp(mean / work, minSpeed, maxSpeed) : 1;
         double slots = speed * std::max(1U, server.slots);
         if (const auto limit = m_shares.rates().limitOf(id))
-            slots = std::min(slots, usedOfLimit * *limit * mean / 1000);
+            slots = std::min(slots, usableLimitFraction * *limit * mean / 1000);
         usable.push_back({ id, slots });
     }
     return usable;
@@ -551,29 +551,29 @@
 void Coordinator::balance()
 {
     const Instant now = m_clock.now();
-    const double passed = static_cast<double>((now - m_lastBalance).count());
+    const double elapsedMillis = static_cast<double>((now - m_lastBalance).count());
     m_lastBalance = now;
     for (auto& [service, plan] : m_plans) {
         KeyLoad& load = m_loads[service];
         load.buildPrefixSums();
         const auto ranges = plan->table().ranges;
         BalanceOptions options = m_options.balance;
-        options.loadDecaySeconds = meanLifeSeconds();
+        options.loadDecaySeconds = loadLifetimeSeconds();
         options.workMillis = meanWorkMillis(*plan);
         options.maxConcurrentMoves
-            = std::max(options.maxConcurrentMoves, m_view.servers()->size() / m_options.serversPerMove);
+            = std::max(options.maxConcurrentMoves, m_view.servers()->size() / m_options.serversPerConcurrentMove);
         const auto moves = planBalance(ranges, load, capacities(*plan), options);
-        expectCrowds(moves, load);
+        publishExpectedCrowding(moves, load);
         for (const auto& move : moves)
             plan->move(move.first, move.last, move.to, reasonOf(move));
-        load.decay(std::exp2(-passed / static_cast<double>(m_options.loadHalfLife.count())));
+        load.decay(std::exp2(-elapsedMillis / static_cast<double>(m_options.loadHalfLife.count())));
     }
     const auto registered = m_view.servers();
     m_shares.rates().retainServers([&](const std::string& server) { return registered->count(server) > 0; });
     std::erase_if(m_hosts, [&](const auto& entry) {
-        if (now - entry.second.heard <= m_options.hostSilence)
+        if (now - entry.second.lastReport <= m_options.hostTimeout)
             return false;
-        m_announcer.forget(entry.first);
+        m_announcer.removeHost(entry.first);
         m_shares.forget(entry.first);
         return true;
     });
@@ -581,25 +581,25 @@
 
 // --- Hosts
 
-bool Coordinator::standsBy(std::string_view host) const
+bool Coordinator::isStandby(std::string_view host) const
 {
     // The strongest ones; among equals the order of names, so that it is always the same ones.
     const auto found = m_hosts.find(host);
     if (found == m_hosts.end() || host == m_options.host)
         return false;
-    size_t before = 0;
+    size_t strongerHosts = 0;
     for (const auto& [name, other] : m_hosts) {
-        const bool first
+        const bool precedes
             = other.strength > found->second.strength || (other.strength == found->second.strength && name < host);
-        before += name != m_options.host && first;
+        strongerHosts += name != m_options.host && precedes;
     }
-    return before < m_options.standbys;
+    return strongerHosts < m_options.standbys;
 }
 
 Millis Coordinator::reportInterval() const
 {
-    const double factor = static_cast<double>(m_hosts.size()) / static_cast<double>(m_options.hostsAtThat);
-    return Millis(std::llround(static_cast<double>(m_options.reportEvery.count()) * std::max(1.0, factor)));
+    const double factor = static_cast<double>(m_hosts.size()) / static_cast<double>(m_options.hostsAtMinReportInterval);
+    return Millis(std::llround(static_cast<double>(m_options.minReportInterval.count()) * std::max(1.0, factor)));
 }
 
 GrantTable Coordinator::tableOf(const GrantPlan& plan) const
@@ -609,25 +609,25 @@
     return table;
 }
 
-void Coordinator::noteFormers(std::string_view reporter)
+void Coordinator::checkPreviousCoordinators(std::string_view reporter)
 {
     const Instant now = m_clock.now();
-    const auto formers = m_formers;
-    for (const auto& [service, former] : formers) {
+    const auto previousCoordinators = m_previousCoordinators;
+    for (const auto& [service, previous] : previousCoordinators) {
         // A report from the former coordinator's own host: it knows of this one, or has begun anew.
-        if (reporter == former)
+        if (reporter == previous)
             onPreviousStopped(service, now, "its host reports here");
-        else if (m_office.previousLostMajority())
-            onPreviousStopped(service, m_office.previousStoppedBy(now), "half of the hosts report here");
+        else if (m_leadership.previousLostMajority())
+            onPreviousStopped(service, m_leadership.previousStoppedBy(now), "half of the hosts report here");
     }
 }
 
 void Coordinator::onPreviousStopped(const std::string& service, Instant at, std::string_view why)
 {
     logChange(LogLevel::Info, "former-coordinator-stopped",
-        { { "service", service }, { "former", m_formers[service] }, { "why", why } });
+        { { "service", service }, { "former", m_previousCoordinators[service] }, { "why", why } });
     m_plans.at(service)->onPreviousStopped(at);
-    m_formers.erase(service);
+    m_previousCoordinators.erase(service);
 }
 
 wire::HostAdvice Coordinator::onReport(const wire::HostReport& report)
@@ -635,63 +635,63 @@
     wire::HostAdvice advice;
     advice.coordinates = m_term != 0;
     advice.term = m_term;
-    advice.storeSilentMillis = m_storeSilence.count();
+    advice.storeSilentMillis = m_timeSinceStoreAnswer.count();
     advice.lastChange = m_view.lastChange();
     advice.storeRevision = m_view.revision();
     if (!m_term)
         return advice;
     HostState& host = m_hosts[report.sender];
-    host.heard = m_clock.now();
-    m_office.onReport(report.sender, host.heard);
-    noteFormers(report.sender);
+    host.lastReport = m_clock.now();
+    m_leadership.onReport(report.sender, host.lastReport);
+    checkPreviousCoordinators(report.sender);
     host.strength = report.strengthCenti / centi;
     if (report.sender != m_options.host)
-        m_announcer.note(report);
-    advice.standsBy = standsBy(report.sender);
+        m_announcer.updateHost(report);
+    advice.standsBy = isStandby(report.sender);
     advice.reportMillis = static_cast<int32_t>(reportInterval().count());
     advice.hosts = static_cast<int32_t>(m_hosts.size());
     // Loads decay with a half-life, so that a steady rate of r adds up to r times this.
-    const double meanLife = meanLifeSeconds();
+    const double lifetime = loadLifetimeSeconds();
     for (const auto& service : report.services) {
         KeyLoad& load = m_loads[service.serviceName];
         for (const auto& use : service.keys)
-            load.add(static_cast<uint32_t>(use.key), use.busyMicros / 1000.0 / meanLife);
+            load.add(static_cast<uint32_t>(use.key), use.busyMicros / 1000.0 / lifetime);
     }
-    m_announcer.bringUp(report, m_view.tables(), advice);
-    takeLeaving(report);
-    takeRates(report, host.heard, advice);
-    takeUses(report, host.heard, advice);
-    takeCrashes(report, host.heard, advice);
+    m_announcer.addMissedChanges(report, m_view.tables(), advice);
+    applyReportedLeaving(report);
+    applyRateLimits(report, host.lastReport, advice);
+    applyServerUse(report, host.lastReport, advice);
+    applyCrashReports(report, host.lastReport, advice);
     return advice;
 }
 
 std::shared_ptr<const GrantPlan::Servers> Coordinator::servers()
 {
     auto registered = m_view.servers();
-    std::erase_if(m_sayLeaving, [&](const std::string& id) {
+    std::erase_if(m_reportedLeaving, [&](const std::string& id) {
         const auto server = registered->find(id);
         return server == registered->end() || server->second.leaving;
     });
-    if (m_sayLeaving.empty() || m_storeSilence > m_options.storeAwayAfter)
+    if (m_reportedLeaving.empty() || m_timeSinceStoreAnswer > m_options.storeUnavailableAfter)
         return registered;
-    auto told = std::make_shared<GrantPlan::Servers>(*registered);
-    for (const auto& id : m_sayLeaving)
-        told->at(id).leaving = true;
-    return told;
+    auto adjusted = std::make_shared<GrantPlan::Servers>(*registered);
+    for (const auto& id : m_reportedLeaving)
+        adjusted->at(id).leaving = true;
+    return adjusted;
 }
 
-void Coordinator::takeLeaving(const wire::HostReport& report)
+void Coordinator::applyReportedLeaving(const wire::HostReport& report)
 {
     const auto registered = m_view.servers();
     for (const auto& id : report.leaving) {
-        if (!registered->count(id) || !m_sayLeaving.insert(id).second)
+        if (!registered->count(id) || !m_reportedLeaving.insert(id).second)
             continue;
         logChange(LogLevel::Info, "server-reported-leaving", { { "server", id }, { "reporter", report.sender } });
-        m_changed.notifyAll();
+        m_wakeUp.notifyAll();
     }
 }
 
-void Coordinator::takeRates(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
+void Coordinator::applyRateLimits(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
 {
     GlobalRateLimiter& rates = m_shares.rates();
     const auto registered = m_view.servers();
@@ -717,7 +717,7 @@
     });
 }
 
-void Coordinator::takeCrashes(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
+void Coordinator::applyCrashReports(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
 {
     m_crashes.setReportInterval(reportInterval());
     for (const auto& crash : report.crashes)
@@ -726,20 +726,20 @@
         m_crashes.answered(static_cast<Fingerprint>(request));
     for (const int64_t request : report.released)
         m_crashes.release(static_cast<Fingerprint>(request));
-    tellCrashes(now, report.sender);
-    advice.crashesEdition = editionInTerm(m_crashesEdition);
-    advice.suspects = m_suspectsTold;
-    advice.quarantined = m_quarantinedTold;
+    publishCrashes(now, report.sender);
+    advice.crashesEdition = editionInTerm(m_publishedCrashesEdition);
+    advice.suspects = m_publishedSuspects;
+    advice.quarantined = m_publishedQuarantined;
 }
 
 int64_t Coordinator::editionInTerm(uint64_t edition) const
 {
-    constexpr int64_t editionsOfTerm = 1'000'000;
-    return m_term * editionsOfTerm + static_cast<int64_t>(edition);
+    constexpr int64_t editionsPerTerm = 1'000'000;
+    return m_term * editionsPerTerm + static_cast<int64_t>(edition);
 }
 
 // At once: servers crash with each such request that is on its way.
-void Coordinator::tellCrashes(Instant now, std::string_view reporter)
+void Coordinator::publishCrashes(Instant now, std::string_view reporter)
 {
     const auto found = m_crashes.suspects(now);
     std::vector<int64_t> suspects(found.begin(), found.end());
@@ -750,27 +750,28 @@
         logChange(LogLevel::Warning, toString(event.kind),
             { { "fingerprint", fingerprintText(event.request) }, { "crashes", event.crashes },
                 { "server", event.server }, { "reporter", reporter } });
-    if (m_crashesEdition && suspects == m_suspectsTold && quarantined == m_quarantinedTold)
+    if (m_publishedCrashesEdition && suspects == m_publishedSuspects && quarantined == m_publishedQuarantined)
         return;
     // A data centre's loss makes hundreds of suspects within seconds: the lists change with each report then, and go
     // with the answers to reports only.
-    constexpr Millis pause { 100 };
-    constexpr size_t mostAtOnce = 64;
-    if (now - m_crashesToldAt < pause)
+    constexpr Millis minPublishInterval { 100 };
+    constexpr size_t maxPublishedRequests = 64;
+    if (now - m_crashesPublishedAt < minPublishInterval)
         return; // the next look does it
-    m_crashesToldAt = now;
-    if (quarantined != m_quarantinedTold)
+    m_crashesPublishedAt = now;
+    if (quarantined != m_publishedQuarantined)
         logChange(LogLevel::Warning, "quarantine-changed",
             { { "requests", quarantined.size() }, { "suspects", suspects.size() }, { "reporter", reporter } });
-    ++m_crashesEdition;
-    m_suspectsTold = std::move(suspects);
-    m_quarantinedTold = std::move(quarantined);
-    if (m_suspectsTold.size() + m_quarantinedTold.size() <= mostAtOnce)
-        m_announcer.crashes(editionInTerm(m_crashesEdition), m_suspectsTold, m_quarantinedTold);
-    m_changed.notifyAll();
+    ++m_publishedCrashesEdition;
+    m_publishedSuspects = std::move(suspects);
+    m_publishedQuarantined = std::move(quarantined);
+    if (m_publishedSuspects.size() + m_publishedQuarantined.size() <= maxPublishedRequests)
+        m_announcer.publishCrashes(
+            editionInTerm(m_publishedCrashesEdition), m_publishedSuspects, m_publishedQuarantined);
+    m_wakeUp.notifyAll();
 }
 
-void Coordinator::takeUses(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
+void Coordinator::applyServerUse(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
 {
     m_shares.setHosts(m_hosts.size(), reportInterval());
     const auto servers = m_view.servers();
@@ -792,12 +793,12 @@
             crowded.push_back(use.server);
         advice.shares.push_back(std::move(*share));
     }
-    tellCrowded(crowded);
-    giveSparePermits(report, now, advice);
+    publishCrowded(crowded);
+    addSparePermits(report, now, advice);
 }
 
 // For servers without keys: a host has nothing there as long as others can do its work.
-void Coordinator::giveSparePermits(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
+void Coordinator::addSparePermits(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
 {
     const auto servers = m_view.servers();
     m_shares.rates().forEachLimit([&](const std::string& id, PerSecond) {
@@ -812,18 +813,18 @@
     });
 }
 
-void Coordinator::tellCrowded(std::span<const std::string> servers)
+void Coordinator::publishCrowded(std::span<const std::string> servers)
 {
-    const auto told = m_shares.toTell(servers, m_clock.now());
-    if (told.empty())
+    const auto toPublish = m_shares.toTell(servers, m_clock.now());
+    if (toPublish.empty())
         return;
-    m_crowdsTold.add(told.size());
-    m_announcer.crowded(told);
+    m_crowdedServersPublished.add(toPublish.size());
+    m_announcer.publishCrowded(toPublish);
 }
 
 // A key that crowds its server crowds the next one as well: there nobody has a share yet, and each host's first request
 // would come at once.
-void Coordinator::expectCrowds(std::span<const BalanceMove> moves, const KeyLoad& load)
+void Coordinator::publishExpectedCrowding(std::span<const BalanceMove> moves, const KeyLoad& load)
 {
     std::vector<std::string> crowded;
     for (const auto& move : moves) {
@@ -834,7 +835,7 @@
         if (m_shares.expectCrowd(move.to, server->second.slots, busyMillis, m_clock.now()))
             crowded.push_back(move.to);
     }
-    tellCrowded(crowded);
+    publishCrowded(crowded);
 }
 
 }
--- a/packages/gateway/Coordinator.h
+++ b/packages/gateway/Coordinator.h
@@ -30,25 +30,25 @@
 struct CoordinatorOptions {
     std::string host;
     GrantTiming grants;
-    LeadershipTiming office;
+    LeadershipTiming leadership;
     BalanceOptions balance;
     ShareOptions shares;
-    Millis registrationPause { 700 }; // without a new server, before a new service's keys are dealt
-    Millis look { 30 }; // between two looks at what is due, while in office
+    Millis registrationQuietPeriod { 700 }; // without a new server, before a new service's keys are dealt
+    Millis stepInterval { 30 }; // between two looks at what is due, while in office
     Millis releaseTimeout { 3'000 }; // a release is answered when the work under way has ended
-    Millis balanceEvery { 400 }; // one write a round at the most, and each wakes every host's watch
+    Millis balanceInterval { 400 }; // one write a round at the most, and each wakes every host's watch
     Millis loadHalfLife { 2'000 }; // of what is known of the keys' load: hot keys change within seconds
-    Millis reportEvery { 250 }; // shares follow a burst within about half a second
+    Millis minReportInterval { 250 }; // shares follow a burst within about half a second
     // With more, each reports less often, so that the coordinator's work stays bounded. A host notices the loss of its
     // coordinator by its next report, and a change must be in force everywhere within 2 to 2.5 s also then.
-    size_t hostsAtThat = 80;
+    size_t hostsAtMinReportInterval = 80;
     size_t standbys = 2; // hosts that follow the store as well, to take over at once
-    size_t serversPerMove = 6; // moves at once: one for so many servers
-    Millis hostSilence { 3'000 }; // a host that has not reported for so long no longer counts
-    Millis listEvery { 2'000 }; // the hosts that report are written to the store, if they have changed
+    size_t serversPerConcurrentMove = 6; // moves at once: one for so many servers
+    Millis hostTimeout { 3'000 }; // a host that has not reported for so long no longer counts
+    Millis hostListWriteInterval { 2'000 }; // the hosts that report are written to the store, if they have changed
     Millis storeTimeout { 1'000 };
     // Without the store's answer for so long no move can be announced: keys stay where they are.
-    Millis storeAwayAfter { 1'500 };
+    Millis storeUnavailableAfter { 1'500 };
 };
 
 class Coordinator {
@@ -58,14 +58,14 @@
     Coordinator(boost::asio::any_io_executor, const Clock&, const PlatformAdapter&, CoordinatorOptions, Store&,
         PlatformView&, Election&, Metrics&, TableSink);
     boost::asio::awaitable<void> run(); // forever
-    void wake() { m_changed.notifyAll(); } // the office or the view changed
-    void setStoreSilence(Millis silence) { m_storeSilence = silence; }
+    void wake() { m_wakeUp.notifyAll(); } // the office or the view changed
+    void setTimeSinceStoreAnswer(Millis silence) { m_timeSinceStoreAnswer = silence; }
     wire::HostAdvice onReport(const wire::HostReport&);
     void onEvents(int64_t afterChange, const std::vector<WatchEvent>&); // from the store: told to all hosts
 
 private:
     struct HostState {
-        Instant heard {};
+        Instant lastReport {};
         double strength = 0; // cores
     };
     struct ServerState {
@@ -74,7 +74,7 @@
         std::shared_ptr<HttpClient> client;
         std::deque<std::pair<GrantOrder, std::string>> grants; // with their service; sent one after the other
         unsigned senders = 0; // of these grants, over a connection each; more than one while answers are missing
-        Instant sentAt {}; // the last of them
+        Instant lastSentAt {}; // the last of them
     };
 
     struct Registrations {
@@ -82,30 +82,30 @@
         Instant since {};
     };
 
-    bool inOffice() const;
+    bool isLeader() const;
     GrantTable tableOf(const GrantPlan&) const; // signed by this host
     bool readyForTerm() const; // the view has everything that was written before this host was elected
     void beginTerm();
     void endTerm();
     void step();
-    void ensurePlans();
-    bool allRegistered(const std::string& service);
+    void createMissingPlans();
+    bool registrationsSettled(const std::string& service);
     void publish(GrantPlan&);
-    void noteFormers(std::string_view reporter);
+    void checkPreviousCoordinators(std::string_view reporter);
     void onPreviousStopped(const std::string& service, Instant at, std::string_view why);
-    bool standsBy(std::string_view host) const;
+    bool isStandby(std::string_view host) const;
     Millis reportInterval() const;
     void balance();
-    double meanLifeSeconds() const; // of what is known of the keys' load
+    double loadLifetimeSeconds() const; // of what is known of the keys' load
     double meanWorkMillis(const GrantPlan&) const; // of one request, at the servers of this service
     std::vector<ServerCapacity> capacities(const GrantPlan&);
     void send(GrantOrder, const std::string& service);
     void startSender(const std::string& server, ServerState&);
-    void overtakeUnanswered();
+    void addSendersToStalledServers();
     boost::asio::awaitable<void> sendGrants(std::string server, int64_t term);
     std::optional<uint64_t> fenceToSend(const GrantOrder&, const std::string& service, bool newConnection);
-    boost::asio::awaitable<void> carryOut(GrantOrder, int64_t term, std::string service);
-    struct Writing {
+    boost::asio::awaitable<void> executeOrder(GrantOrder, int64_t term, std::string service);
+    struct PendingWrite {
         std::vector<GrantTable> tables;
         std::set<std::string, std::less<>> hosts; // empty: as they are
         std::optional<std::string> quarantine; // nothing: as it is
@@ -114,22 +114,22 @@
 
     // As registered; those that say in their answers that they leave count as leaving.
     std::shared_ptr<const GrantPlan::Servers> servers();
-    void takeLeaving(const wire::HostReport&);
-    void takeRates(const wire::HostReport&, Instant now, wire::HostAdvice&);
-    void takeCrashes(const wire::HostReport&, Instant now, wire::HostAdvice&);
-    void tellCrashes(Instant now, std::string_view reporter); // to all hosts, if there is anything new
+    void applyReportedLeaving(const wire::HostReport&);
+    void applyRateLimits(const wire::HostReport&, Instant now, wire::HostAdvice&);
+    void applyCrashReports(const wire::HostReport&, Instant now, wire::HostAdvice&);
+    void publishCrashes(Instant now, std::string_view reporter); // to all hosts, if there is anything new
     int64_t editionInTerm(uint64_t edition) const; // higher than any of a former term
-    void takeUses(const wire::HostReport&, Instant now, wire::HostAdvice&);
-    void giveSparePermits(const wire::HostReport&, Instant now, wire::HostAdvice&);
-    void tellCrowded(std::span<const std::string>);
-    void expectCrowds(std::span<const BalanceMove>, const KeyLoad&);
-    boost::asio::awaitable<void> write(Writing, int64_t term);
+    void applyServerUse(const wire::HostReport&, Instant now, wire::HostAdvice&);
+    void addSparePermits(const wire::HostReport&, Instant now, wire::HostAdvice&);
+    void publishCrowded(std::span<const std::string>);
+    void publishExpectedCrowding(std::span<const BalanceMove>, const KeyLoad&);
+    boost::asio::awaitable<void> write(PendingWrite, int64_t term);
     boost::asio::awaitable<int64_t> readBack(std::vector<WriteOperation>);
-    void writeWhatChanged();
-    std::set<std::string, std::less<>> hostsToList() const; // empty: those in the store are right
+    void writeChanges();
+    std::set<std::string, std::less<>> changedHostList() const; // empty: those in the store are right
     void logEvents(GrantPlan&);
-    void rememberServers();
-    void rememberFormerIncarnation(const std::string& server); // if a later incarnation of it is registered
+    void updateServerAddresses();
+    void useAddressOfLaterIncarnation(const std::string& server); // if a later incarnation of it is registered
     std::shared_ptr<HttpClient> clientFor(const std::string& server); // null: never registered since the term began
 
     boost::asio::any_io_executor m_executor;
@@ -139,36 +139,37 @@
     Store& m_store;
     PlatformView& m_view;
     Election& m_election;
-    TableSink m_sink;
+    TableSink m_tableSink;
     Counter& m_peerBytes;
     Counter& m_orders;
     Counter& m_ordersFailed;
     Counter& m_writes;
     Counter& m_moves;
-    Counter& m_crowdsTold;
-    Signal m_changed;
+    Counter& m_crowdedServersPublished;
+    Signal m_wakeUp;
     int64_t m_term = 0; // 0: not in office
     std::map<std::string, std::unique_ptr<GrantPlan>> m_plans; // by service
     std::map<std::string, Registrations> m_registrations; // of services without a plan
     std::map<std::string, KeyLoad> m_loads; // by service
     std::map<std::string, ServerState, std::less<>> m_servers;
-    std::set<std::string, std::less<>> m_sayLeaving; // whose entries don't
+    std::set<std::string, std::less<>> m_reportedLeaving; // whose entries don't
     ServerShares m_shares;
     CrashAggregator m_crashes;
-    uint64_t m_quarantineWritten = 0; // its edition
-    uint64_t m_crashesEdition = 0; // of the two lists that follow
-    std::vector<int64_t> m_suspectsTold;
-    std::vector<int64_t> m_quarantinedTold;
-    Instant m_crashesToldAt {};
+    uint64_t m_writtenQuarantineEdition = 0; // its edition
+    uint64_t m_publishedCrashesEdition = 0; // of the two lists that follow
+    std::vector<int64_t> m_publishedSuspects;
+    std::vector<int64_t> m_publishedQuarantined;
+    Instant m_crashesPublishedAt {};
     std::map<std::string, HostState, std::less<>> m_hosts;
     Announcer m_announcer;
     bool m_writing = false;
-    LeadershipRules m_office;
-    std::map<std::string, std::string> m_formers; // by service: the host whose orders may still be under way
-    Instant m_listedAt {};
+    LeadershipRules m_leadership;
+    std::map<std::string, std::string>
+        m_previousCoordinators; // by service: the host whose orders may still be under way
+    Instant m_hostListCheckedAt {};
     Instant m_lastBalance {};
-    Instant m_silentSince {}; // most servers don't answer
-    Millis m_storeSilence { 0 };
+    Instant m_mostServersAnsweredAt {}; // most servers don't answer
+    Millis m_timeSinceStoreAnswer { 0 };
 };
 
 }
--- a/packages/gateway/GatewayControl.cpp
+++ b/packages/gateway/GatewayControl.cpp
@@ -37,9 +37,9 @@
         options.grants.leaseDuration = std::min(settings.gateway->longestHold, options.grants.leaseDuration);
         // One figure each for what the election, the office and the plans must agree on: an office that acted longer
         // than its lease, or than a successor waits, could leave a key with two holders.
-        options.office.lease = leaseOf(*settings.gateway);
-        options.office.maxWithoutStore = options.grants.maxRenewalWithoutStore;
-        options.office.reportTimeout = reportTimeout;
+        options.leadership.lease = leaseOf(*settings.gateway);
+        options.leadership.maxWithoutStore = options.grants.maxRenewalWithoutStore;
+        options.leadership.reportTimeout = reportTimeout;
         return options;
     }
 
@@ -183,7 +183,7 @@
 void GatewayControl::onAdopt(const wire::News& news)
 {
     if (!news.forwardTo.empty())
-        m_relay.pass(news);
+        m_relay.forward(news);
     takeNews(news);
 }
 
@@ -476,7 +476,7 @@
         const Millis since = m_clock.now() - m_lastReport;
         if (since < least)
             co_await sleepFor(least - since);
-        m_coordinator.setStoreSilence(m_clock.now() - m_follower.lastAnswer());
+        m_coordinator.setTimeSinceStoreAnswer(m_clock.now() - m_follower.lastAnswer());
         co_await reportOnce();
         if (m_pushFailed)
             pushAll();
--- a/packages/gateway/NewsFanout.cpp
+++ b/packages/gateway/NewsFanout.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    constexpr Millis relayRest { 5'000 }; // a relay that failed; a restart takes about a second
+    constexpr Millis relayRetryDelay { 5'000 }; // a relay that failed; a restart takes about a second
 
     void append(wire::News& news, const wire::News& more)
     {
@@ -46,19 +46,19 @@
 
 // --- One host
 
-NewsLink::NewsLink(asio::any_io_executor executor, std::unique_ptr<CoordinationLink> link, Failure failure)
+NewsLink::NewsLink(asio::any_io_executor executor, std::unique_ptr<CoordinationLink> link, FailureHandler failure)
     : m_executor(std::move(executor))
     , m_link(std::move(link))
-    , m_failure(std::move(failure))
+    , m_onFailure(std::move(failure))
 {
 }
 
-void NewsLink::add(const wire::News& news)
+void NewsLink::enqueue(const wire::News& news)
 {
     if (!m_link)
         return;
     append(m_unsent, news);
-    m_anyUnsent = true;
+    m_hasUnsent = true;
     if (m_sending)
         return;
     m_sending = true;
@@ -67,11 +67,11 @@
 
 asio::awaitable<void> NewsLink::sendAll(std::shared_ptr<NewsLink>)
 {
-    while (std::exchange(m_anyUnsent, false)) {
+    while (std::exchange(m_hasUnsent, false)) {
         const wire::News news = std::exchange(m_unsent, {});
         const bool arrived = co_await m_link->adopt(news, deliveryTimeout(sizeOf(news)));
-        if (!arrived && m_failure)
-            m_failure(news);
+        if (!arrived && m_onFailure)
+            m_onFailure(news);
     }
     m_sending = false;
 }
@@ -84,10 +84,10 @@
 {
 }
 
-void NewsRelay::pass(const wire::News& news)
+void NewsRelay::forward(const wire::News& news)
 {
-    wire::News passed = news;
-    passed.forwardTo.clear();
+    wire::News forwarded = news;
+    forwarded.forwardTo.clear();
     // Groups change as hosts come and go; links to former members go with them.
     std::erase_if(m_links, [&](const auto& entry) {
         return std::find(news.forwardTo.begin(), news.forwardTo.end(), entry.first) == news.forwardTo.end();
@@ -96,8 +96,8 @@
         auto& link = m_links[address];
         if (!link)
             link = std::make_shared<NewsLink>(
-                m_executor, makeCoordinationLink(m_executor, address, m_bytesSent), NewsLink::Failure {});
-        link->add(passed);
+                m_executor, makeCoordinationLink(m_executor, address, m_bytesSent), NewsLink::FailureHandler {});
+        link->enqueue(forwarded);
     }
 }
 
@@ -110,39 +110,39 @@
 {
 }
 
-void NewsFanout::note(
+void NewsFanout::updateHost(
     const std::string& host, const std::string& address, const std::string& dataCentre, double strength)
 {
     Host& known = m_hosts[host];
     if (known.address == address && known.dataCentre == dataCentre && known.strength == strength)
         return;
     known = { address, dataCentre, strength, {}, nullptr };
-    m_changed = true;
+    m_groupsOutdated = true;
 }
 
-void NewsFanout::forget(std::string_view host)
+void NewsFanout::removeHost(std::string_view host)
 {
     const auto found = m_hosts.find(host);
     if (found == m_hosts.end())
         return;
     m_hosts.erase(found);
-    m_changed = true;
+    m_groupsOutdated = true;
 }
 
 void NewsFanout::clear()
 {
     m_hosts.clear();
     m_groups.clear();
-    m_changed = false;
+    m_groupsOutdated = false;
 }
 
 void NewsFanout::regroup()
 {
-    m_changed = false;
+    m_groupsOutdated = false;
     const Instant now = m_clock.now();
     std::vector<RelayCandidate> candidates;
     for (const auto& [name, host] : m_hosts)
-        candidates.push_back({ name, host.dataCentre, host.strength, host.relaysFrom <= now });
+        candidates.push_back({ name, host.dataCentre, host.strength, host.mayRelayFrom <= now });
     m_groups.clear();
     for (auto& planned : planRelays(candidates)) {
         Group group { planned.relay, std::move(planned.members), nullptr };
@@ -156,32 +156,32 @@
     }
 }
 
-void NewsFanout::tell(const wire::News& news)
+void NewsFanout::publish(const wire::News& news)
 {
-    if (m_changed)
+    if (m_groupsOutdated)
         regroup();
     for (auto& group : m_groups) {
         if (!group.link) {
-            tellDirectly(group.relay, news);
+            sendDirectly(group.relay, news);
             continue;
         }
-        wire::News passed = news;
+        wire::News forwarded = news;
         for (const auto& member : group.members)
-            passed.forwardTo.push_back(m_hosts.at(member).address);
-        group.link->add(passed);
+            forwarded.forwardTo.push_back(m_hosts.at(member).address);
+        group.link->enqueue(forwarded);
     }
 }
 
-void NewsFanout::tellDirectly(const std::string& host, const wire::News& news)
+void NewsFanout::sendDirectly(const std::string& host, const wire::News& news)
 {
     const auto found = m_hosts.find(host);
     if (found == m_hosts.end())
         return;
     auto& link = found->second.link;
     if (!link)
-        link = std::make_shared<NewsLink>(
-            m_executor, makeCoordinationLink(m_executor, found->second.address, m_bytesSent), NewsLink::Failure {});
-    link->add(news);
+        link = std::make_shared<NewsLink>(m_executor,
+            makeCoordinationLink(m_executor, found->second.address, m_bytesSent), NewsLink::FailureHandler {});
+    link->enqueue(news);
 }
 
 void NewsFanout::onRelayFailed(
@@ -190,13 +190,13 @@
     logChange(LogLevel::Warning, "relay-silent", { { "relay", relay }, { "members", members.size() } });
     const auto found = m_hosts.find(relay);
     if (found != m_hosts.end()) {
-        found->second.relaysFrom = m_clock.now() + relayRest;
-        m_changed = true;
+        found->second.mayRelayFrom = m_clock.now() + relayRetryDelay;
+        m_groupsOutdated = true;
     }
     wire::News direct = news;
     direct.forwardTo.clear();
     for (const auto& member : members)
-        tellDirectly(member, direct);
+        sendDirectly(member, direct);
 }
 
 }
--- a/packages/gateway/NewsFanout.h
+++ b/packages/gateway/NewsFanout.h
@@ -19,19 +19,19 @@
 // To one host, in order; what comes while a message is under way goes with the next one.
 class NewsLink : public std::enable_shared_from_this<NewsLink> {
 public:
-    using Failure = std::function<void(const wire::News&)>; // the message was not answered
+    using FailureHandler = std::function<void(const wire::News&)>; // the message was not answered
 
-    NewsLink(boost::asio::any_io_executor, std::unique_ptr<CoordinationLink>, Failure);
-    void add(const wire::News&);
+    NewsLink(boost::asio::any_io_executor, std::unique_ptr<CoordinationLink>, FailureHandler);
+    void enqueue(const wire::News&);
 
 private:
     boost::asio::awaitable<void> sendAll(std::shared_ptr<NewsLink>); // keeps itself alive until all is sent
 
     boost::asio::any_io_executor m_executor;
     std::unique_ptr<CoordinationLink> m_link;
-    Failure m_failure;
+    FailureHandler m_onFailure;
     wire::News m_unsent;
-    bool m_anyUnsent = false;
+    bool m_hasUnsent = false;
     bool m_sending = false;
 };
 
@@ -39,7 +39,7 @@
 class NewsRelay {
 public:
     NewsRelay(boost::asio::any_io_executor, Counter& bytesSent);
-    void pass(const wire::News&);
+    void forward(const wire::News&);
 
 private:
     boost::asio::any_io_executor m_executor;
@@ -53,18 +53,19 @@
     NewsFanout(boost::asio::any_io_executor, const Clock&, Counter& bytesSent);
 
     // --- Who is told
-    void note(const std::string& host, const std::string& address, const std::string& dataCentre, double strength);
-    void forget(std::string_view host);
+    void updateHost(
+        const std::string& host, const std::string& address, const std::string& dataCentre, double strength);
+    void removeHost(std::string_view host);
     void clear();
 
-    void tell(const wire::News&);
+    void publish(const wire::News&);
 
 private:
     struct Host {
         std::string address; // "IP:port" of its peer port
         std::string dataCentre;
         double strength = 0; // cores
-        Instant relaysFrom {}; // it failed as a relay, and is none until then
+        Instant mayRelayFrom {}; // it failed as a relay, and is none until then
         std::shared_ptr<NewsLink> link; // null: not needed yet
     };
     struct Group {
@@ -74,7 +75,7 @@
     };
 
     void regroup();
-    void tellDirectly(const std::string& host, const wire::News&);
+    void sendDirectly(const std::string& host, const wire::News&);
     void onRelayFailed(const std::string& relay, const std::vector<std::string>& members, const wire::News&);
 
     boost::asio::any_io_executor m_executor;
@@ -82,7 +83,7 @@
     Counter& m_bytesSent;
     std::map<std::string, Host, std::less<>> m_hosts;
     std::vector<Group> m_groups;
-    bool m_changed = false; // since the groups were planned
+    bool m_groupsOutdated = false; // since the groups were planned
 };
 
 }
--- a/tests/news_fanout_test.cpp
+++ b/tests/news_fanout_test.cpp
@@ -11,9 +11,9 @@
 const std::string loopback = "127.0.0.1";
 
 // A host that counts what it is told, and passes it on if asked to.
-class Listener final : public CoordinationHandler {
+class RecordingHost final : public CoordinationHandler {
 public:
-    Listener(boost::asio::io_context& context, Counter& bytes)
+    RecordingHost(boost::asio::io_context& context, Counter& bytes)
         : m_relay(context.get_executor(), bytes)
         , m_server(makeCoordinationServer(context.get_executor(), loopback, 0, *this, bytes))
     {
@@ -23,18 +23,18 @@
 
     void onAdopt(const wire::News& news) override
     {
-        relayed += news.forwardTo.size();
+        forwardAddresses += news.forwardTo.size();
         items += news.items.size();
-        if (!news.forwardTo.empty() && passesOn)
-            m_relay.pass(news);
+        if (!news.forwardTo.empty() && forwardsNews)
+            m_relay.forward(news);
     }
 
     std::string address() const { return loopback + ":" + std::to_string(m_server->port()); }
     void stop() { m_server.reset(); }
 
     size_t items = 0;
-    size_t relayed = 0;
-    bool passesOn = true;
+    size_t forwardAddresses = 0;
+    bool forwardsNews = true;
 
 private:
     NewsRelay m_relay;
@@ -47,18 +47,18 @@
     Metrics metrics;
     Counter& bytes = metrics.counter("bytes");
     NewsFanout fanout { context.get_executor(), clock, bytes };
-    std::vector<std::unique_ptr<Listener>> hosts;
+    std::vector<std::unique_ptr<RecordingHost>> hosts;
 
     explicit Fleet(size_t count)
     {
         for (size_t i = 0; i < count; ++i) {
-            hosts.push_back(std::make_unique<Listener>(context, bytes));
+            hosts.push_back(std::make_unique<RecordingHost>(context, bytes));
             const double strength = i ? 0.1 : 0.5; // the first relays
-            fanout.note("host-" + std::to_string(i), hosts[i]->address(), "dc-1", strength);
+            fanout.updateHost("host-" + std::to_string(i), hosts[i]->address(), "dc-1", strength);
         }
     }
 
-    void tell(int64_t change)
+    void publish(int64_t change)
     {
         wire::News news;
         news.afterChange = change - 1;
@@ -67,11 +67,11 @@
         item.key = "k";
         item.revision = change;
         news.items.push_back(item);
-        fanout.tell(news);
+        fanout.publish(news);
         context.run_for(Millis(50));
     }
 
-    size_t told() const
+    size_t totalItems() const
     {
         size_t items = 0;
         for (const auto& host : hosts)
@@ -85,9 +85,9 @@
 TEST_CASE("the coordinator sends one copy to a group, and each host gets the news once")
 {
     Fleet fleet(6);
-    fleet.tell(1);
-    fleet.tell(2);
-    CHECK(fleet.hosts[0]->relayed == 10);
+    fleet.publish(1);
+    fleet.publish(2);
+    CHECK(fleet.hosts[0]->forwardAddresses == 10);
     for (const auto& host : fleet.hosts)
         CHECK(host->items == 2);
 }
@@ -97,14 +97,14 @@
 TEST_CASE("the group of a relay that is gone is told directly, and by another relay from then on")
 {
     Fleet fleet(6);
-    fleet.tell(1);
+    fleet.publish(1);
     fleet.hosts[0]->stop();
     fleet.context.run_for(Millis(10));
-    fleet.tell(2);
+    fleet.publish(2);
     fleet.context.run_for(Millis(400));
     for (size_t i = 1; i < 6; ++i)
         CHECK(fleet.hosts[i]->items == 2);
-    fleet.tell(3);
+    fleet.publish(3);
     for (size_t i = 1; i < 6; ++i)
         CHECK(fleet.hosts[i]->items == 3);
 }
@@ -112,9 +112,9 @@
 TEST_CASE("a host that is forgotten hears nothing more")
 {
     Fleet fleet(2);
-    fleet.tell(1);
-    fleet.fanout.forget("host-1");
-    fleet.tell(2);
+    fleet.publish(1);
+    fleet.fanout.removeHost("host-1");
+    fleet.publish(2);
     CHECK(fleet.hosts[0]->items == 2);
     CHECK(fleet.hosts[1]->items == 1);
 }
