--- a/packages/gateway/Announcer.cpp
+++ b/packages/gateway/Announcer.cpp
@@ -12,14 +12,16 @@
 namespace {
 
     constexpr double centi = 100;
-    // Of one table, told again to hosts that miss them: at one change each 0.4 s the last six seconds, some 20 kB.
+    // Per table, kept for hosts that missed them. At one change every 0.4 s these are the changes of the last six
+    // seconds, some 20 kB.
     constexpr size_t maxRecentChanges = 16;
 
-    // The document of routes is told to every host: deflated it has a tenth of its megabyte. Plain, a relay with
-    // ten members behind a small link would need longer than a configuration may take to be in force.
+    // Large values are deflated. The document of routes, which is sent to every host, has a megabyte and shrinks to a
+    // tenth. Uncompressed, a relay with ten members behind a small link would need more time to forward it than a
+    // configuration may take to be in force.
     ItemChange changeOf(const WatchEvent& event)
     {
-        constexpr size_t minBytesToDeflate = 4'096; // bytes; entries of servers have some 300
+        constexpr size_t minBytesToDeflate = 4'096; // servers' entries have some 300 bytes
         ItemChange change { event.value.key, event.value.value, event.value.modRevision, event.erased };
         if (change.value.size() > minBytesToDeflate) {
             change.plainBytes = change.value.size();
@@ -75,7 +77,7 @@
     m_history.add(afterChange, lastChange, changes);
     if (!isLeader)
         return;
-    // News reach the hosts within a few ms, at no cost to the store.
+    // News reach the hosts within a few ms and without load on the store.
     wire::News news;
     news.afterChange = afterChange;
     news.lastChange = lastChange;
@@ -93,7 +95,7 @@
 {
     const auto published = m_published.find(table.service);
     if (published == m_published.end()) {
-        m_published.emplace(table.service, table); // each host gets its first one with the answer to a report
+        m_published.emplace(table.service, table); // each host gets its first table with the answer to a report
         return;
     }
     GrantTable& latest = published->second;
@@ -125,7 +127,8 @@
 
 void Announcer::addMissedChanges(const wire::HostReport& report, const Tables& tables, wire::HostAdvice& advice) const
 {
-    // Instead of a reading of everything, which takes a small link longer than the next changes take to come.
+    // Without these changes the host would have to read the whole store, which takes a small link longer than the
+    // interval between changes.
     const auto missed = m_history.changesSince(report.lastChange);
     if (missed && !missed->empty()) {
         advice.missed.afterChange = report.lastChange;
@@ -143,7 +146,8 @@
     }
 }
 
-// Most hosts that know an older table miss its last change only, or it is on its way to them.
+// Most hosts that know an older table lack only its last change, or are about to receive it. They are sent the changes
+// since their edition, others the whole table.
 void Announcer::addTableUpdate(const GrantTable& table, const TableEdition& known, wire::HostAdvice& advice) const
 {
     const auto recent = m_recentChanges.find(table.service);
--- a/packages/gateway/Announcer.h
+++ b/packages/gateway/Announcer.h
@@ -1,5 +1,5 @@
-// What the coordinator tells the other hosts: changes as they come, and with the answer to each report what its sender
-// has missed of them.
+// Sends changes from the coordinator to the other hosts: each change at once, and with the answer to a report the
+// changes that the reporting host has missed.
 #pragma once
 
 #include "decisions/ChangeHistory.h"
@@ -22,36 +22,38 @@
 
     Announcer(boost::asio::any_io_executor, const Clock&, Counter& bytesSent);
 
-    // --- Who is told
+    // --- Recipients
     void updateHost(const wire::HostReport&);
     void removeHost(std::string_view host);
-    void onTermEnded(); // nobody any more; what others wrote is still remembered
+    void onTermEnded(); // removes all hosts and published tables; the history of changes in the store is kept
 
-    // --- What is told
-    // All writes of others after `afterChange`, up to `lastChange`. Out of office they are remembered only, so that a
-    // new coordinator can tell hosts what its predecessor did not.
+    // --- Changes
+    // `events` are all writes to the store after `afterChange` up to `lastChange`, without those of the hosts
+    // themselves. A host that is not the leader only records them, so that as a new coordinator it can send hosts the
+    // changes that its predecessor did not send.
     void onStoreChanges(int64_t afterChange, int64_t lastChange, const std::vector<WatchEvent>&, bool isLeader);
-    bool hasPublished(const std::string& service, uint64_t edition) const; // it or a later one, in this office
+    bool hasPublished(const std::string& service, uint64_t edition) const; // this edition or a later one, in this term
     void publish(const GrantTable&);
     void publishCrashes(int64_t edition, std::vector<int64_t> suspects, std::vector<int64_t> quarantined);
-    void publishCrowded(const std::vector<std::string>& servers); // nothing goes there without a permit from now on
+    void publishCrowded(
+        const std::vector<std::string>& servers); // hosts need a permit for each request to these servers from now on
 
-    // Adds what follows the change and the tables that the sender knows.
+    // Adds to the advice the changes and tables that are newer than those that the report names.
     void addMissedChanges(const wire::HostReport&, const Tables&, wire::HostAdvice&) const;
 
 private:
     struct RecentChange {
-        TableEdition from;
-        std::string encoded; // encoded
+        TableEdition from; // the edition that the change applies to
+        std::string encoded;
     };
 
     void addTableUpdate(const GrantTable&, const TableEdition& known, wire::HostAdvice&) const;
 
     NewsFanout m_news;
     ChangeHistory m_history;
-    std::map<std::string, GrantTable> m_published; // by service, as the hosts were told
+    std::map<std::string, GrantTable> m_published; // by service, as sent to the hosts
     std::map<std::string, std::deque<RecentChange>>
-        m_recentChanges; // of tables, by service; each follows the one before
+        m_recentChanges; // of tables, by service; each applies to the result of the one before
 };
 
 }
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -14,14 +14,14 @@
 
 namespace asio = boost::asio;
 
-// Sections: office, plans, orders, writes, balance, hosts.
+// Sections: leadership, plans, orders, writes, balance, hosts.
 
 namespace {
 
-    constexpr Millis standbyPollInterval { 2'000 }; // out of office; the election wakes it
-    constexpr Millis isolationTimeout { 1'000 }; // most servers silent for so long: another host does it better
+    constexpr Millis standbyPollInterval { 2'000 }; // while not the leader; the election also wakes the loop
+    constexpr Millis isolationTimeout { 1'000 }; // give up leadership when most servers are unresponsive for this long
     constexpr double centi = 100;
-    // Of the requests a second that a server names: what is asked for its keys goes up and down.
+    // Balancing uses this fraction of the rate limit that a server names, since the request rate of its keys varies.
     constexpr double usableLimitFraction = 0.7;
 
 }
@@ -49,7 +49,7 @@
 {
 }
 
-// --- Office
+// --- Leadership
 
 asio::awaitable<void> Coordinator::run()
 {
@@ -70,8 +70,8 @@
     }
 }
 
-// The view may know of a newer coordinator before the election's next word from the store: this host reports to that
-// one from then on, and must have stopped.
+// The view may know of a newer coordinator before the election hears of it from the store. This host reports to the
+// newer coordinator from then on, and must no longer act as one itself.
 bool Coordinator::isLeader() const { return m_election.holds() && m_view.leader().modRevision <= m_election.term(); }
 
 bool Coordinator::readyForTerm() const { return m_view.revision() >= m_election.term() && m_view.rules(); }
@@ -115,8 +115,9 @@
 void Coordinator::step()
 {
     const Instant now = m_clock.now();
-    // Without the store's word another host may have been elected meanwhile. Renewals go on for a while, since the
-    // store may be away for all; a new coordinator waits as long for holders that it can't reach.
+    // Without confirmation by the store, another host may have been elected meanwhile. Renewals continue for a limited
+    // time, since the store may be unavailable to all hosts. A new coordinator waits as long for holders that it can't
+    // reach.
     if (!m_leadership.mayAct(m_election.lastConfirmed(), now))
         return;
     updateServerAddresses();
@@ -143,7 +144,7 @@
     if (!isolated)
         m_mostServersAnsweredAt = now;
     else if (now - m_mostServersAnsweredAt > isolationTimeout) {
-        logChange(LogLevel::Warning, "coordinator-cut-off", { { "term", m_term } });
+        logChange(LogLevel::Warning, "coordinator-isolated", { { "term", m_term } });
         m_election.abandon();
         endTerm();
         return;
@@ -170,7 +171,8 @@
         if (table) {
             plan->takeOver(*table, now);
             m_previousCoordinators[name] = table->coordinator;
-            // This host's own former term has ended here; what it had sent arrives soon or never.
+            // The previous coordinator was this host, whose earlier term has ended: orders that it sent arrive soon or
+            // never.
             if (table->coordinator == m_options.host)
                 onPreviousStopped(name, now, "it was this host");
         } else {
@@ -179,8 +181,8 @@
     }
 }
 
-// When everything starts at once, servers register one after the other. Dealt to the first ones alone, the keys would
-// have to move again at once, away from servers that are overloaded by then.
+// When a whole platform starts, its servers register one after the other. If the keys were assigned to the first
+// servers alone, these would be overloaded and most keys would have to move again at once.
 bool Coordinator::registrationsSettled(const std::string& service)
 {
     const Instant now = m_clock.now();
@@ -208,7 +210,7 @@
 {
     std::vector<WatchEvent> others;
     for (const auto& event : events) {
-        // Tables and the office are told in other ways.
+        // Tables and the leadership are sent to the hosts in other ways.
         if (m_view.isOthers(event.value.key))
             others.push_back(event);
     }
@@ -252,15 +254,16 @@
 std::shared_ptr<HttpClient> Coordinator::clientFor(const std::string& server)
 {
     const auto known = m_servers.find(server);
-    // A former incarnation of a registered server is asked to let go at that server: it holds nothing and says so at
-    // once, where waiting for the former incarnation's hold would leave its keys without an owner for three seconds.
+    // Releases for an earlier incarnation of a registered server are sent to the registered incarnation. It doesn't
+    // hold the range and answers so at once. Waiting until the lease of the earlier incarnation has expired would leave
+    // its keys without an owner for three seconds.
     if (known == m_servers.end() || !known->second.port)
         useAddressOfLaterIncarnation(server);
     const auto found = m_servers.find(server);
     if (found == m_servers.end() || !found->second.port)
         return nullptr;
     ServerState& state = found->second;
-    constexpr size_t maxIdleConnections = 2; // renewals of its ranges in turn, and a release that waits for work to end
+    constexpr size_t maxIdleConnections = 2; // one for renewals, and one for a release that waits for work to end
     if (!state.client)
         state.client = std::make_shared<HttpClient>(m_executor, state.address, state.port, maxIdleConnections);
     return state.client;
@@ -268,13 +271,14 @@
 
 void Coordinator::send(GrantOrder order, const std::string& service)
 {
-    // A release waits at the server until its work has ended; grants for the same server must not wait for it.
+    // The server answers a release after its requests in progress have ended. Grants for the server must not wait for
+    // that.
     if (order.kind == GrantOrder::Kind::Release) {
         asio::co_spawn(m_executor, executeOrder(std::move(order), m_term, service), asio::detached);
         return;
     }
-    // Grants for one server go one after the other over one connection: sent at once they would open one for each
-    // range, and most of these would not be kept.
+    // Grants for one server are sent one after the other over one connection. Sent concurrently, they would open a
+    // connection for each range, most of which would be closed again.
     const std::string server = order.server;
     ServerState& state = m_servers[server];
     state.grants.emplace_back(std::move(order), service);
@@ -289,12 +293,12 @@
     asio::co_spawn(m_executor, sendGrants(server, m_term), asio::detached);
 }
 
-// Answers to orders get lost now and then, and each holds its connection up until it is given up. The orders behind it
-// must not wait so long: with half of the answers lost, a server's ranges would lapse one after the other.
+// An order whose answer is lost blocks its connection until the order times out. The orders queued behind it must not
+// wait that long: if half of the answers are lost, the leases of a server's ranges would expire one after the other.
 void Coordinator::addSendersToStalledServers()
 {
     constexpr Millis stallTimeout { 100 }; // most orders are answered within a few ms
-    constexpr unsigned maxSenders = 6; // connections to a server that doesn't answer at all
+    constexpr unsigned maxSenders = 6; // limits the connections to a server that doesn't answer at all
     const Instant now = m_clock.now();
     for (auto& [server, state] : m_servers) {
         const bool stalled = state.senders && !state.grants.empty() && now - state.lastSentAt > stallTimeout;
@@ -329,7 +333,7 @@
 {
     m_orders.add();
     OrderAnswer answer { order.range, order.number };
-    // Held here: the end of the term drops the servers while this order may still wait for its answer.
+    // Keeps the client alive: the end of the term clears m_servers while this order may still wait for its answer.
     const auto client = clientFor(order.server);
     if (client) {
         const bool release = order.kind == GrantOrder::Kind::Release;
@@ -350,7 +354,7 @@
         }
     }
     if (term != m_term)
-        co_return; // out of office meanwhile
+        co_return; // the term has ended meanwhile
     answer.endedAt = m_clock.now();
     if (answer.result != OrderResult::Done) {
         m_ordersFailed.add();
@@ -364,8 +368,8 @@
         co_return;
     const uint64_t before = plan->second->edition();
     plan->second->onAnswer(answer);
-    // A renewal changes nothing that can't wait for the next look. Looking over all ranges after each of them costs a
-    // coordinator of hundreds of hosts more than everything else that it does.
+    // The results of a renewal can wait for the next step. A step checks all ranges: run after each renewal, steps
+    // would cost a coordinator of hundreds of hosts more than all its other work.
     const bool urgent = order.kind == GrantOrder::Kind::Release || plan->second->edition() != before;
     if (urgent || plan->second->deposed())
         m_wakeUp.notifyAll();
@@ -424,7 +428,7 @@
         if (plan->needsWrite(now))
             writing.tables.push_back(tableOf(*plan));
     }
-    // Hosts come in one after the other: their list is written with a table, or alone after a while.
+    // New hosts report one after the other, so their list is written together with a table, or alone at intervals.
     const bool overdue = now - m_hostListCheckedAt >= m_options.hostListWriteInterval;
     if (!writing.tables.empty() || overdue)
         writing.hosts = changedHostList();
@@ -440,8 +444,8 @@
     asio::co_spawn(m_executor, write(std::move(writing), m_term), asio::detached);
 }
 
-// The revision at which all of it lies in the store, or 0. Where something else lies, the view learns its revision, so
-// that the next write's conditions are right.
+// Returns a revision at which the store holds all the writes, or 0. For a table that differs, the view is given the
+// table in the store and its revision, so that the conditions of the next write are right.
 asio::awaitable<int64_t> Coordinator::readBack(std::vector<WriteOperation> writes)
 {
     int64_t revision = 0;
@@ -467,7 +471,8 @@
     m_writes.add();
     const TxnReply reply = co_await m_store.txn(conditions, writes, m_options.storeTimeout);
     int64_t revision = reply.status == StoreStatus::Ok && reply.succeeded ? reply.revision : 0;
-    // The answer was lost, or a write whose answer was lost came through later: what lies there tells.
+    // Either the answer was lost, or an earlier write without an answer was carried out late and changed the revisions.
+    // Reading the keys back shows whether this write was carried out.
     if (!revision)
         revision = co_await readBack(writes);
     m_writing = false;
@@ -497,7 +502,7 @@
     {
         if (move.heavyKey)
             return "a heavy key";
-        return move.toEmptyServer ? "a new server" : "evenness";
+        return move.toEmptyServer ? "a new server" : "uneven load";
     }
 
 }
@@ -534,8 +539,8 @@
             continue;
         if (avoidWarmingUpServers && server.warmingUp(now))
             continue;
-        // Servers differ in speed: one that takes longer for its work gets less of it. Bounded, since few requests may
-        // look slow or quick by chance.
+        // Servers differ in speed: a server that takes longer for a request gets less load. The factor is bounded,
+        // since a small sample of requests may be slow or fast by chance.
         constexpr double minSpeed = 0.4;
         constexpr double maxSpeed = 2;
         const double work = m_shares.workMillis(id);
@@ -583,7 +588,7 @@
 
 bool Coordinator::isStandby(std::string_view host) const
 {
-    // The strongest ones; among equals the order of names, so that it is always the same ones.
+    // The strongest hosts are the standbys. Ties are broken by name, so that the choice is stable.
     const auto found = m_hosts.find(host);
     if (found == m_hosts.end() || host == m_options.host)
         return false;
@@ -614,17 +619,18 @@
     const Instant now = m_clock.now();
     const auto previousCoordinators = m_previousCoordinators;
     for (const auto& [service, previous] : previousCoordinators) {
-        // A report from the former coordinator's own host: it knows of this one, or has begun anew.
+        // The previous coordinator's own host reports to this one: it knows of this coordinator, or has restarted.
         if (reporter == previous)
-            onPreviousStopped(service, now, "its host reports here");
+            onPreviousStopped(service, now, "its host reports to this coordinator");
         else if (m_leadership.previousLostMajority())
-            onPreviousStopped(service, m_leadership.previousStoppedBy(now), "half of the hosts report here");
+            onPreviousStopped(
+                service, m_leadership.previousStoppedBy(now), "half of the hosts report to this coordinator");
     }
 }
 
 void Coordinator::onPreviousStopped(const std::string& service, Instant at, std::string_view why)
 {
-    logChange(LogLevel::Info, "former-coordinator-stopped",
+    logChange(LogLevel::Info, "previous-coordinator-stopped",
         { { "service", service }, { "former", m_previousCoordinators[service] }, { "why", why } });
     m_plans.at(service)->onPreviousStopped(at);
     m_previousCoordinators.erase(service);
@@ -650,7 +656,8 @@
     advice.standsBy = isStandby(report.sender);
     advice.reportMillis = static_cast<int32_t>(reportInterval().count());
     advice.hosts = static_cast<int32_t>(m_hosts.size());
-    // Loads decay with a half-life, so that a steady rate of r adds up to r times this.
+    // Loads decay with a half-life, so a constant rate adds up to the rate times this lifetime. Divided by the
+    // lifetime, each sample adds to an estimate of the rate.
     const double lifetime = loadLifetimeSeconds();
     for (const auto& service : report.services) {
         KeyLoad& load = m_loads[service.serviceName];
@@ -738,7 +745,7 @@
     return m_term * editionsPerTerm + static_cast<int64_t>(edition);
 }
 
-// At once: servers crash with each such request that is on its way.
+// Changed lists are published at once, since more servers crash with each copy of these requests that is in flight.
 void Coordinator::publishCrashes(Instant now, std::string_view reporter)
 {
     const auto found = m_crashes.suspects(now);
@@ -752,12 +759,12 @@
                 { "server", event.server }, { "reporter", reporter } });
     if (m_publishedCrashesEdition && suspects == m_publishedSuspects && quarantined == m_publishedQuarantined)
         return;
-    // A data centre's loss makes hundreds of suspects within seconds: the lists change with each report then, and go
-    // with the answers to reports only.
+    // The loss of a data centre produces hundreds of suspects within seconds, and the lists change with each report.
+    // Lists that long are sent only with the answers to reports.
     constexpr Millis minPublishInterval { 100 };
     constexpr size_t maxPublishedRequests = 64;
     if (now - m_crashesPublishedAt < minPublishInterval)
-        return; // the next look does it
+        return; // left to a later step
     m_crashesPublishedAt = now;
     if (quarantined != m_publishedQuarantined)
         logChange(LogLevel::Warning, "quarantine-changed",
@@ -788,7 +795,7 @@
         const bool keyed = plan != m_plans.end();
         auto share = m_shares.shareFor(report.sender, use.server, server.slots, keyed, now);
         if (!share)
-            continue; // there is room: the host needs no share
+            continue; // the server has free slots: the host needs no share
         if (share->crowded && !m_shares.rates().isLimited(use.server))
             crowded.push_back(use.server);
         advice.shares.push_back(std::move(*share));
@@ -797,7 +804,8 @@
     addSparePermits(report, now, advice);
 }
 
-// For servers without keys: a host has nothing there as long as others can do its work.
+// Offers permits for rate-limited servers without keys that the report doesn't name: a host sends such a server no
+// requests as long as other servers can do the work.
 void Coordinator::addSparePermits(const wire::HostReport& report, Instant now, wire::HostAdvice& advice)
 {
     const auto servers = m_view.servers();
@@ -822,8 +830,8 @@
     m_announcer.publishCrowded(toPublish);
 }
 
-// A key that crowds its server crowds the next one as well: there nobody has a share yet, and each host's first request
-// would come at once.
+// A key that overloads its server overloads the server to which it moves as well. No host has a share of the new server
+// yet, and without an announcement the first requests of all hosts would arrive there at once.
 void Coordinator::publishExpectedCrowding(std::span<const BalanceMove> moves, const KeyLoad& load)
 {
     std::vector<std::string> crowded;
--- a/packages/gateway/Coordinator.h
+++ b/packages/gateway/Coordinator.h
@@ -1,7 +1,7 @@
-// Drives the grant plans of all keyed services while this host holds the office: writes their tables, calls the
-// servers, takes the hosts' reports in and advises them.
+// Runs the grant plans of all keyed services while this host is the leader: writes the grant tables to the store, sends
+// orders to the servers, and answers the hosts' reports with advice.
 //
-// The decisions are in decisions/GrantPlan.h, KeyBalance.h and SlotShares.h; here is what they need of the world.
+// The decisions are in decisions/GrantPlan.h, KeyBalance.h and SlotShares.h. This class does their I/O.
 #pragma once
 
 #include "control/Election.h"
@@ -33,35 +33,37 @@
     LeadershipTiming leadership;
     BalanceOptions balance;
     ShareOptions shares;
-    Millis registrationQuietPeriod { 700 }; // without a new server, before a new service's keys are dealt
-    Millis stepInterval { 30 }; // between two looks at what is due, while in office
-    Millis releaseTimeout { 3'000 }; // a release is answered when the work under way has ended
-    Millis balanceInterval { 400 }; // one write a round at the most, and each wakes every host's watch
-    Millis loadHalfLife { 2'000 }; // of what is known of the keys' load: hot keys change within seconds
-    Millis minReportInterval { 250 }; // shares follow a burst within about half a second
-    // With more, each reports less often, so that the coordinator's work stays bounded. A host notices the loss of its
-    // coordinator by its next report, and a change must be in force everywhere within 2 to 2.5 s also then.
+    Millis registrationQuietPeriod { 700 }; // without a new server, before a new service's keys are assigned
+    Millis stepInterval { 30 }; // longest time between two calls of step() while this host is the leader
+    Millis releaseTimeout { 3'000 }; // a server answers a release only after its requests in progress have ended
+    Millis balanceInterval { 400 }; // limits the writes of tables, each of which wakes the watches of all hosts
+    Millis loadHalfLife { 2'000 }; // of the measured load of keys: hot keys change within seconds
+    Millis minReportInterval { 250 }; // slot shares follow a burst within about half a second
+    // With more hosts than this, each host reports less often, so that the coordinator's work stays bounded. The number
+    // is high enough to keep the interval short: a host detects the loss of the coordinator by its next report, and a
+    // change must be in force on all hosts within 2 to 2.5 s even then.
     size_t hostsAtMinReportInterval = 80;
-    size_t standbys = 2; // hosts that follow the store as well, to take over at once
-    size_t serversPerConcurrentMove = 6; // moves at once: one for so many servers
-    Millis hostTimeout { 3'000 }; // a host that has not reported for so long no longer counts
-    Millis hostListWriteInterval { 2'000 }; // the hosts that report are written to the store, if they have changed
+    size_t standbys = 2; // number of hosts that also follow the store, so that they can take over at once
+    size_t serversPerConcurrentMove = 6; // one concurrent move is allowed for this many servers
+    Millis hostTimeout { 3'000 }; // a host is removed this long after its last report
+    Millis hostListWriteInterval { 2'000 }; // of the list of reporting hosts, if no table is written
     Millis storeTimeout { 1'000 };
-    // Without the store's answer for so long no move can be announced: keys stay where they are.
+    // When the store has not answered for this long, reports of leaving servers are ignored: no move could be announced
+    // in the store, so keys stay at their servers.
     Millis storeUnavailableAfter { 1'500 };
 };
 
 class Coordinator {
 public:
-    using TableSink = std::function<void(GrantTable)>; // a table that is newer than the store's
+    using TableSink = std::function<void(GrantTable)>; // receives tables that are newer than those in the store
 
     Coordinator(boost::asio::any_io_executor, const Clock&, const PlatformAdapter&, CoordinatorOptions, Store&,
         PlatformView&, Election&, Metrics&, TableSink);
-    boost::asio::awaitable<void> run(); // forever
-    void wake() { m_wakeUp.notifyAll(); } // the office or the view changed
-    void setTimeSinceStoreAnswer(Millis silence) { m_timeSinceStoreAnswer = silence; }
+    boost::asio::awaitable<void> run(); // doesn't return
+    void wake() { m_wakeUp.notifyAll(); } // the leadership or the platform view has changed
+    void setTimeSinceStoreAnswer(Millis duration) { m_timeSinceStoreAnswer = duration; }
     wire::HostAdvice onReport(const wire::HostReport&);
-    void onEvents(int64_t afterChange, const std::vector<WatchEvent>&); // from the store: told to all hosts
+    void onEvents(int64_t afterChange, const std::vector<WatchEvent>&); // forwards changes in the store to all hosts
 
 private:
     struct HostState {
@@ -69,22 +71,23 @@
         double strength = 0; // cores
     };
     struct ServerState {
-        std::string address; // also of a server that is no longer registered, to ask it to let go
+        std::string address; // kept after the server's registration has ended, to send it releases
         uint16_t port = 0;
         std::shared_ptr<HttpClient> client;
-        std::deque<std::pair<GrantOrder, std::string>> grants; // with their service; sent one after the other
-        unsigned senders = 0; // of these grants, over a connection each; more than one while answers are missing
-        Instant lastSentAt {}; // the last of them
+        std::deque<std::pair<GrantOrder, std::string>> grants; // to be sent in this order, each with its service
+        // Number of sendGrants() coroutines, each with one connection; more than one while answers are missing.
+        unsigned senders = 0;
+        Instant lastSentAt {}; // when the last grant was sent
     };
 
     struct Registrations {
         size_t count = 0;
-        Instant since {};
+        Instant since {}; // when `count` last changed
     };
 
     bool isLeader() const;
-    GrantTable tableOf(const GrantPlan&) const; // signed by this host
-    bool readyForTerm() const; // the view has everything that was written before this host was elected
+    GrantTable tableOf(const GrantPlan&) const; // with this host as its coordinator
+    bool readyForTerm() const; // the view includes all writes from before this host's election
     void beginTerm();
     void endTerm();
     void step();
@@ -96,8 +99,8 @@
     bool isStandby(std::string_view host) const;
     Millis reportInterval() const;
     void balance();
-    double loadLifetimeSeconds() const; // of what is known of the keys' load
-    double meanWorkMillis(const GrantPlan&) const; // of one request, at the servers of this service
+    double loadLifetimeSeconds() const; // mean lifetime of a load sample under the exponential decay
+    double meanWorkMillis(const GrantPlan&) const; // of one request, averaged over the servers of this service
     std::vector<ServerCapacity> capacities(const GrantPlan&);
     void send(GrantOrder, const std::string& service);
     void startSender(const std::string& server, ServerState&);
@@ -107,18 +110,19 @@
     boost::asio::awaitable<void> executeOrder(GrantOrder, int64_t term, std::string service);
     struct PendingWrite {
         std::vector<GrantTable> tables;
-        std::set<std::string, std::less<>> hosts; // empty: as they are
-        std::optional<std::string> quarantine; // nothing: as it is
+        std::set<std::string, std::less<>> hosts; // empty: the list is not written
+        std::optional<std::string> quarantine; // encoded; no value: not written
         uint64_t quarantineEdition = 0;
     };
 
-    // As registered; those that say in their answers that they leave count as leaving.
+    // The registered servers. Those that have announced in responses to hosts that they are leaving are marked as
+    // leaving.
     std::shared_ptr<const GrantPlan::Servers> servers();
     void applyReportedLeaving(const wire::HostReport&);
     void applyRateLimits(const wire::HostReport&, Instant now, wire::HostAdvice&);
     void applyCrashReports(const wire::HostReport&, Instant now, wire::HostAdvice&);
-    void publishCrashes(Instant now, std::string_view reporter); // to all hosts, if there is anything new
-    int64_t editionInTerm(uint64_t edition) const; // higher than any of a former term
+    void publishCrashes(Instant now, std::string_view reporter); // sends the lists to all hosts if they have changed
+    int64_t editionInTerm(uint64_t edition) const; // higher than any edition of earlier terms
     void applyServerUse(const wire::HostReport&, Instant now, wire::HostAdvice&);
     void addSparePermits(const wire::HostReport&, Instant now, wire::HostAdvice&);
     void publishCrowded(std::span<const std::string>);
@@ -126,11 +130,11 @@
     boost::asio::awaitable<void> write(PendingWrite, int64_t term);
     boost::asio::awaitable<int64_t> readBack(std::vector<WriteOperation>);
     void writeChanges();
-    std::set<std::string, std::less<>> changedHostList() const; // empty: those in the store are right
+    std::set<std::string, std::less<>> changedHostList() const; // empty: the list in the store is up to date
     void logEvents(GrantPlan&);
     void updateServerAddresses();
-    void useAddressOfLaterIncarnation(const std::string& server); // if a later incarnation of it is registered
-    std::shared_ptr<HttpClient> clientFor(const std::string& server); // null: never registered since the term began
+    void useAddressOfLaterIncarnation(const std::string& server); // if one is registered
+    std::shared_ptr<HttpClient> clientFor(const std::string& server); // null: no address is known in this term
 
     boost::asio::any_io_executor m_executor;
     const Clock& m_clock;
@@ -147,16 +151,17 @@
     Counter& m_moves;
     Counter& m_crowdedServersPublished;
     Signal m_wakeUp;
-    int64_t m_term = 0; // 0: not in office
+    int64_t m_term = 0; // 0: not the leader
     std::map<std::string, std::unique_ptr<GrantPlan>> m_plans; // by service
-    std::map<std::string, Registrations> m_registrations; // of services without a plan
+    std::map<std::string, Registrations> m_registrations; // by service, of services without a plan
     std::map<std::string, KeyLoad> m_loads; // by service
     std::map<std::string, ServerState, std::less<>> m_servers;
-    std::set<std::string, std::less<>> m_reportedLeaving; // whose entries don't
+    std::set<std::string, std::less<>>
+        m_reportedLeaving; // servers that hosts report as leaving but that are not registered as leaving
     ServerShares m_shares;
     CrashAggregator m_crashes;
-    uint64_t m_writtenQuarantineEdition = 0; // its edition
-    uint64_t m_publishedCrashesEdition = 0; // of the two lists that follow
+    uint64_t m_writtenQuarantineEdition = 0; // edition of m_crashes that is in the store
+    uint64_t m_publishedCrashesEdition = 0; // of the two lists below; 0: none published in this term
     std::vector<int64_t> m_publishedSuspects;
     std::vector<int64_t> m_publishedQuarantined;
     Instant m_crashesPublishedAt {};
@@ -165,10 +170,10 @@
     bool m_writing = false;
     LeadershipRules m_leadership;
     std::map<std::string, std::string>
-        m_previousCoordinators; // by service: the host whose orders may still be under way
+        m_previousCoordinators; // by service: the host whose orders may still arrive at servers
     Instant m_hostListCheckedAt {};
     Instant m_lastBalance {};
-    Instant m_mostServersAnsweredAt {}; // most servers don't answer
+    Instant m_mostServersAnsweredAt {}; // the last step in which most servers were responsive
     Millis m_timeSinceStoreAnswer { 0 };
 };
 
--- a/packages/gateway/NewsFanout.cpp
+++ b/packages/gateway/NewsFanout.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    constexpr Millis relayRetryDelay { 5'000 }; // a relay that failed; a restart takes about a second
+    constexpr Millis relayRetryDelay { 5'000 }; // after a relay has failed; a restart takes about a second
 
     void append(wire::News& news, const wire::News& more)
     {
@@ -44,7 +44,7 @@
 
 }
 
-// --- One host
+// --- Link to one host
 
 NewsLink::NewsLink(asio::any_io_executor executor, std::unique_ptr<CoordinationLink> link, FailureHandler failure)
     : m_executor(std::move(executor))
@@ -76,7 +76,7 @@
     m_sending = false;
 }
 
-// --- A relay
+// --- Relay
 
 NewsRelay::NewsRelay(asio::any_io_executor executor, Counter& bytesSent)
     : m_executor(std::move(executor))
@@ -88,7 +88,7 @@
 {
     wire::News forwarded = news;
     forwarded.forwardTo.clear();
-    // Groups change as hosts come and go; links to former members go with them.
+    // Groups change as hosts come and go: drop links to hosts that are no longer members.
     std::erase_if(m_links, [&](const auto& entry) {
         return std::find(news.forwardTo.begin(), news.forwardTo.end(), entry.first) == news.forwardTo.end();
     });
@@ -101,7 +101,7 @@
     }
 }
 
-// --- The coordinator
+// --- Coordinator
 
 NewsFanout::NewsFanout(asio::any_io_executor executor, const Clock& clock, Counter& bytesSent)
     : m_executor(std::move(executor))
@@ -187,7 +187,7 @@
 void NewsFanout::onRelayFailed(
     const std::string& relay, const std::vector<std::string>& members, const wire::News& news)
 {
-    logChange(LogLevel::Warning, "relay-silent", { { "relay", relay }, { "members", members.size() } });
+    logChange(LogLevel::Warning, "relay-unresponsive", { { "relay", relay }, { "members", members.size() } });
     const auto found = m_hosts.find(relay);
     if (found != m_hosts.end()) {
         found->second.mayRelayFrom = m_clock.now() + relayRetryDelay;
--- a/packages/gateway/NewsFanout.h
+++ b/packages/gateway/NewsFanout.h
@@ -1,7 +1,7 @@
-// Passes news on to other hosts: the coordinator to relays and single hosts, a relay to its group.
+// Distributes news to other hosts: the coordinator sends them to relays and single hosts, a relay to its group.
 //
-// A message that can't be delivered is not kept: the host that misses it sees so by the answer to its next report, and
-// reads the store.
+// A message that can't be delivered is dropped. The host that missed it detects this by the answer to its next report,
+// and reads the store.
 #pragma once
 
 #include "base/Time.h"
@@ -16,16 +16,17 @@
 
 namespace cumindale {
 
-// To one host, in order; what comes while a message is under way goes with the next one.
+// Sends news to one host in order. News that arrive while a message is in flight are merged into the next message.
 class NewsLink : public std::enable_shared_from_this<NewsLink> {
 public:
-    using FailureHandler = std::function<void(const wire::News&)>; // the message was not answered
+    using FailureHandler = std::function<void(const wire::News&)>; // called with a message that was not answered
 
     NewsLink(boost::asio::any_io_executor, std::unique_ptr<CoordinationLink>, FailureHandler);
     void enqueue(const wire::News&);
 
 private:
-    boost::asio::awaitable<void> sendAll(std::shared_ptr<NewsLink>); // keeps itself alive until all is sent
+    boost::asio::awaitable<void> sendAll(
+        std::shared_ptr<NewsLink>); // the argument keeps this object alive until all is sent
 
     boost::asio::any_io_executor m_executor;
     std::unique_ptr<CoordinationLink> m_link;
@@ -35,7 +36,7 @@
     bool m_sending = false;
 };
 
-// What a relay does: one message, to each of the addresses that it names.
+// The relay's side: forwards a message to each of the addresses that the message names.
 class NewsRelay {
 public:
     NewsRelay(boost::asio::any_io_executor, Counter& bytesSent);
@@ -47,12 +48,12 @@
     std::map<std::string, std::shared_ptr<NewsLink>, std::less<>> m_links; // by address
 };
 
-// What the coordinator does: groups of hosts, each behind a relay.
+// The coordinator's side: divides the hosts into groups and sends the news to one relay of each group.
 class NewsFanout {
 public:
     NewsFanout(boost::asio::any_io_executor, const Clock&, Counter& bytesSent);
 
-    // --- Who is told
+    // --- Recipients
     void updateHost(
         const std::string& host, const std::string& address, const std::string& dataCentre, double strength);
     void removeHost(std::string_view host);
@@ -62,16 +63,16 @@
 
 private:
     struct Host {
-        std::string address; // "IP:port" of its peer port
+        std::string address; // "IP:port" of the host's peer port
         std::string dataCentre;
         double strength = 0; // cores
-        Instant mayRelayFrom {}; // it failed as a relay, and is none until then
-        std::shared_ptr<NewsLink> link; // null: not needed yet
+        Instant mayRelayFrom {}; // after a failure as a relay, the host is not a relay until this time
+        std::shared_ptr<NewsLink> link; // for sending directly; null: not used yet
     };
     struct Group {
         std::string relay;
-        std::vector<std::string> members;
-        std::shared_ptr<NewsLink> link;
+        std::vector<std::string> members; // without the relay
+        std::shared_ptr<NewsLink> link; // to the relay; null: the group has no other members
     };
 
     void regroup();
@@ -83,7 +84,7 @@
     Counter& m_bytesSent;
     std::map<std::string, Host, std::less<>> m_hosts;
     std::vector<Group> m_groups;
-    bool m_groupsOutdated = false; // since the groups were planned
+    bool m_groupsOutdated = false; // the hosts have changed since m_groups was planned
 };
 
 }
--- a/tests/news_fanout_test.cpp
+++ b/tests/news_fanout_test.cpp
@@ -1,4 +1,4 @@
-// News from a coordinator to hosts on loopback, through relays.
+// Tests the distribution of news from a coordinator through relays to hosts on loopback.
 #include "gateway/NewsFanout.h"
 
 #include <boost/asio/io_context.hpp>
@@ -10,7 +10,7 @@
 
 const std::string loopback = "127.0.0.1";
 
-// A host that counts what it is told, and passes it on if asked to.
+// A host that counts the items that it receives, and forwards news if asked to.
 class RecordingHost final : public CoordinationHandler {
 public:
     RecordingHost(boost::asio::io_context& context, Counter& bytes)
@@ -33,7 +33,7 @@
     void stop() { m_server.reset(); }
 
     size_t items = 0;
-    size_t forwardAddresses = 0;
+    size_t forwardAddresses = 0; // to which this host was asked to forward news
     bool forwardsNews = true;
 
 private:
@@ -53,7 +53,7 @@
     {
         for (size_t i = 0; i < count; ++i) {
             hosts.push_back(std::make_unique<RecordingHost>(context, bytes));
-            const double strength = i ? 0.1 : 0.5; // the first relays
+            const double strength = i ? 0.1 : 0.5; // the first host becomes the relay
             fanout.updateHost("host-" + std::to_string(i), hosts[i]->address(), "dc-1", strength);
         }
     }
@@ -82,7 +82,7 @@
 
 }
 
-TEST_CASE("the coordinator sends one copy to a group, and each host gets the news once")
+TEST_CASE("the coordinator sends one copy per group, and each host receives the news once")
 {
     Fleet fleet(6);
     fleet.publish(1);
@@ -92,9 +92,9 @@
         CHECK(host->items == 2);
 }
 
-// What operators saw: a new route was in force on most hosts, and two seconds later on those whose relay had been
-// killed just before.
-TEST_CASE("the group of a relay that is gone is told directly, and by another relay from then on")
+// Guards against late news after the loss of a relay: a new route was in force on most hosts, but only two seconds
+// later on those whose relay had been killed just before.
+TEST_CASE("when a relay fails, its group receives the news directly, and through another relay from then on")
 {
     Fleet fleet(6);
     fleet.publish(1);
@@ -109,7 +109,7 @@
         CHECK(fleet.hosts[i]->items == 3);
 }
 
-TEST_CASE("a host that is forgotten hears nothing more")
+TEST_CASE("a removed host receives no more news")
 {
     Fleet fleet(2);
     fleet.publish(1);
