--- a/bench/placement_trace.cpp
+++ b/bench/placement_trace.cpp
@@ -6,7 +6,7 @@
 // against the least possible on a loss) and unavailable key-seconds a million requests. With --svg FOLDER it also
 // draws the imbalance over time.
 #include "base/Hash.h"
-#include "control/LoadBook.h"
+#include "control/LoadAggregator.h"
 #include "decisions/Placement.h"
 
 #include <absl/flags/flag.h>
@@ -218,7 +218,7 @@
 
     PlacementOptions m_options;
     SliceTable m_table;
-    LoadBook m_loads;
+    LoadAggregator m_loads;
     Instant m_now {};
 };
 
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -2,7 +2,7 @@
 // bounds their ratios within one run.
 #include "base/Hash.h"
 #include "control/ClusterView.h"
-#include "control/LoadBook.h"
+#include "control/LoadAggregator.h"
 #include "decisions/Assigner.h"
 #include "decisions/HotKeys.h"
 #include "decisions/Placement.h"
@@ -275,7 +275,7 @@
 void loadSum(benchmark::State& state) // by hosts reporting 2,000 busy slices each: the assigner's sum
 {
     const SliceTable table = tableOf(2'000);
-    LoadBook book;
+    LoadAggregator book;
     int64_t now = 1'000'000;
     for (auto _ : state) {
         now += 1'000;
--- a/packages/control/AssignerDriver.cpp
+++ b/packages/control/AssignerDriver.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-    constexpr Millis tick { 30 };
+    constexpr Millis stepInterval { 30 };
     constexpr Millis callTimeout { 3000 };
-    constexpr Millis listEvery { 500 };
-    constexpr Millis hostSilence { 1000 }; // a host not heard for so long has no say about servers
+    constexpr Millis hostListInterval { 500 };
+    constexpr Millis hostTimeout { 1000 }; // a host not heard for so long has no say about servers
 
     AssignerOptions assignerOptions(const Settings& settings)
     {
@@ -27,9 +27,9 @@
     }
 
     // Built outside the coroutine: g++ 12 mishandles lists of temporaries inside one.
-    std::vector<Compare> bothUnchanged(Compare office, Compare target)
+    std::vector<Compare> leaderAndTargetUnchanged(Compare leader, Compare target)
     {
-        return { std::move(office), std::move(target) };
+        return { std::move(leader), std::move(target) };
     }
 
     std::vector<WriteOperation> oneWrite(const std::string& key, const std::string& value)
@@ -39,18 +39,18 @@
 
     PlacementConstraint resolve(const PlacementResource& placement)
     {
-        PlacementConstraint wish { placement.rule, placement.keys.empty(), {}, placement.servers,
+        PlacementConstraint constraint { placement.rule, placement.keys.empty(), {}, placement.servers,
             placement.dataCentres };
         for (const auto& key : placement.keys)
-            wish.points.push_back(pointOfKey(key));
-        std::sort(wish.points.begin(), wish.points.end());
-        return wish;
+            constraint.points.push_back(pointOfKey(key));
+        std::sort(constraint.points.begin(), constraint.points.end());
+        return constraint;
     }
 
 }
 
 AssignerDriver::AssignerDriver(const Clock& clock, const Settings& settings, Store& store, HostList& hostList,
-    ClusterView& view, Election& election, PeerMesh& mesh, LoadBook& loads, Metrics& metrics, ViewSink sink)
+    ClusterView& view, Election& election, PeerMesh& mesh, LoadAggregator& loads, Metrics& metrics, ViewSink sink)
     : m_clock(clock)
     , m_settings(settings)
     , m_store(store)
@@ -58,11 +58,11 @@
     , m_view(view)
     , m_election(election)
     , m_mesh(mesh)
-    , m_loads(loads)
+    , m_loadAggregator(loads)
     , m_sink(std::move(sink))
     , m_writes(metrics.counter("store_writes_assigner"))
     , m_reads(metrics.counter("store_reads_assigner"))
-    , m_moved(metrics.counter("slices_given_owner"))
+    , m_slicesReassigned(metrics.counter("slices_given_owner"))
 {
 }
 
@@ -76,7 +76,7 @@
             m_services.clear();
             m_roster.reset();
         }
-        co_await sleepFor(tick);
+        co_await sleepFor(stepInterval);
     }
 }
 
@@ -114,16 +114,17 @@
     RosterView view;
     view.longestWork = longestWork();
     const std::string& self = m_settings.host.name;
-    for (const auto& [name, member] : m_listed) {
+    for (const auto& [name, member] : m_liveHosts) {
         const auto report = reports.find(name);
-        const bool answers = name == self || m_mesh.heardSince(name, now - hostSilence);
-        if (answers && report != reports.end() && report->second.counts)
+        const bool heard = name == self || m_mesh.heardSince(name, now - hostTimeout);
+        if (heard && report != reports.end() && report->second.counts)
             view.live.push_back(member);
     }
     for (const auto& member : m_view.roster()->members) {
-        const auto shown = m_listedAt.find(member.name);
-        const bool listed = shown != m_listedAt.end() && now - shown->second <= m_settings.timing.hostListLag;
-        if (m_listRead && !listed && member.name != self && !m_mesh.heardSince(member.name, now - hostSilence))
+        const auto lastListed = m_lastListedAt.find(member.name);
+        const bool listed
+            = lastListed != m_lastListedAt.end() && now - lastListed->second <= m_settings.timing.hostListLag;
+        if (m_hostListRead && !listed && member.name != self && !m_mesh.heardSince(member.name, now - hostTimeout))
             view.hostsToRemove.insert(member.name);
     }
     const auto next = m_roster->next(*m_view.roster(), view, reports, now);
@@ -144,13 +145,13 @@
     auto& assigner = m_services[service.name];
     if (!assigner)
         assigner = std::make_unique<ServiceAssigner>(assignerOptions(m_settings));
-    const auto held = m_view.table(service.name);
+    const auto known = m_view.table(service.name);
     SliceTable current;
-    if (held)
-        current = *held;
+    if (known)
+        current = *known;
     current.service = service.name;
-    ServiceView view = viewOf(service, current, now, reports);
-    if (!held && view.placement.servers.empty())
+    ServiceView view = serviceView(service, current, now, reports);
+    if (!known && view.placement.servers.empty())
         co_return;
     const auto next = assigner->next(current, std::move(view), *m_view.roster(), reports, now);
     if (!next)
@@ -164,7 +165,7 @@
     const auto apply = [this, next](int64_t modRevision) { return m_view.applyTable(*next, modRevision); };
     const bool committed = co_await commit(tableKey(service.name), encoded, change, apply);
     if (committed) {
-        m_moved.add(next->nextFence - current.nextFence);
+        m_slicesReassigned.add(next->nextFence - current.nextFence);
         logChange(LogLevel::Info, "table-committed",
             { { "service", service.name }, { "version", next->version }, { "slices", next->slices.size() },
                 { "newOwners", next->nextFence - current.nextFence } });
@@ -175,7 +176,7 @@
 asio::awaitable<bool> AssignerDriver::commit(
     std::string key, std::string value, ViewChange& change, std::function<ViewChange(int64_t)> apply)
 {
-    const auto conditions = bothUnchanged(m_election.fence(), { key, m_view.modRevisionOf(key) });
+    const auto conditions = leaderAndTargetUnchanged(m_election.fence(), { key, m_view.modRevisionOf(key) });
     const auto writes = oneWrite(key, value);
     m_writes.add();
     const TxnReply reply = co_await m_store.txn(conditions, writes, callTimeout);
@@ -196,19 +197,19 @@
     co_return false;
 }
 
-bool AssignerDriver::lost(const std::string& server, const HostReports& reports, Instant now) const
+bool AssignerDriver::isLost(const std::string& server, const HostReports& reports, Instant now) const
 {
     std::vector<Observation> observations;
     for (const auto& [host, report] : reports) {
-        const bool speaks = host == m_settings.host.name || m_mesh.heardSince(host, now - hostSilence);
-        const auto sight = report.sights.find(server);
-        if (speaks && sight != report.sights.end())
-            observations.push_back({ host, sight->second });
+        const bool heard = host == m_settings.host.name || m_mesh.heardSince(host, now - hostTimeout);
+        const auto observation = report.sights.find(server);
+        if (heard && observation != report.sights.end())
+            observations.push_back({ host, observation->second });
     }
     return isServerLost(*m_view.roster(), observations);
 }
 
-double AssignerDriver::warmth(const ServerResource& server, bool usable, Instant now)
+double AssignerDriver::warmupFraction(const ServerResource& server, bool usable, Instant now)
 {
     if (!usable) {
         m_usableSince[server.name] = now;
@@ -221,16 +222,16 @@
         static_cast<double>((now - since->second).count()) / static_cast<double>(server.coldStart.count()), 0.0, 1.0);
 }
 
-ServiceView AssignerDriver::viewOf(
+ServiceView AssignerDriver::serviceView(
     const ServiceResource& service, const SliceTable& table, Instant now, const HostReports& reports)
 {
     ServiceView view;
     view.service = &service;
     const auto resources = m_view.resources();
     for (const ServerResource* server : resources->serversOf(service.name)) {
-        const bool usable = resources->acceptsWork(*server) && !lost(server->name, reports, now);
+        const bool usable = resources->acceptsWork(*server) && !isLost(server->name, reports, now);
         view.placement.servers.push_back(
-            { server->name, server->dataCentre, server->slots, warmth(*server, usable, now), usable });
+            { server->name, server->dataCentre, server->slots, warmupFraction(*server, usable, now), usable });
     }
     for (const auto& [name, placement] : resources->placements) {
         if (placement.service == service.name)
@@ -242,31 +243,31 @@
             && (member.name == m_settings.host.name
                 || m_mesh.heardSince(member.name, now - m_settings.timing.beat * 2));
     if (table.version) {
-        view.placement.sliceLoad = m_loads.sliceLoad(table, now);
-        view.placement.hotKeys = m_loads.hotKeys(table);
+        view.placement.sliceLoad = m_loadAggregator.sliceLoad(table, now);
+        view.placement.hotKeys = m_loadAggregator.hotKeys(table);
     }
     return view;
 }
 
-asio::awaitable<void> AssignerDriver::followHostList()
+asio::awaitable<void> AssignerDriver::pollHostList()
 {
     for (;;) {
         if (m_election.mayAct()) {
             const auto hosts = co_await m_hostList.read(callTimeout);
             if (hosts) {
-                m_listRead = true;
-                m_listed.clear();
+                m_hostListRead = true;
+                m_liveHosts.clear();
                 for (const auto& host : *hosts) {
                     if (host.leaving)
                         continue;
-                    m_listed[host.member.name] = host.member;
-                    m_listedAt[host.member.name] = m_clock.now();
+                    m_liveHosts[host.member.name] = host.member;
+                    m_lastListedAt[host.member.name] = m_clock.now();
                 }
             }
         } else {
-            m_listed.clear();
+            m_liveHosts.clear();
         }
-        co_await sleepFor(listEvery);
+        co_await sleepFor(hostListInterval);
     }
 }
 
--- a/packages/control/AssignerDriver.h
+++ b/packages/control/AssignerDriver.h
@@ -3,7 +3,7 @@
 
 #include "control/ClusterView.h"
 #include "control/Election.h"
-#include "control/LoadBook.h"
+#include "control/LoadAggregator.h"
 #include "control/PeerMesh.h"
 #include "decisions/Assigner.h"
 #include "store/HostList.h"
@@ -19,11 +19,11 @@
 public:
     using ViewSink = std::function<void(const ViewChange&)>;
 
-    AssignerDriver(const Clock&, const Settings&, Store&, HostList&, ClusterView&, Election&, PeerMesh&, LoadBook&,
-        Metrics&, ViewSink);
+    AssignerDriver(const Clock&, const Settings&, Store&, HostList&, ClusterView&, Election&, PeerMesh&,
+        LoadAggregator&, Metrics&, ViewSink);
     boost::asio::awaitable<void> run(); // forever
-    boost::asio::awaitable<void> followHostList(); // forever; asks only while in office
-    const std::map<std::string, Member>& candidates() const { return m_listed; } // hosts on the list, to beat with
+    boost::asio::awaitable<void> pollHostList(); // forever; asks only while in office
+    const std::map<std::string, Member>& liveHosts() const { return m_liveHosts; } // hosts on the list, to beat with
 
 private:
     boost::asio::awaitable<void> step();
@@ -31,9 +31,9 @@
     boost::asio::awaitable<void> stepService(const ServiceResource&, Instant now, const HostReports&);
     boost::asio::awaitable<bool> commit(
         std::string key, std::string value, ViewChange& change, std::function<ViewChange(int64_t modRevision)> apply);
-    ServiceView viewOf(const ServiceResource&, const SliceTable&, Instant now, const HostReports&);
-    bool lost(const std::string& server, const HostReports&, Instant now) const;
-    double warmth(const ServerResource&, bool usable, Instant now);
+    ServiceView serviceView(const ServiceResource&, const SliceTable&, Instant now, const HostReports&);
+    bool isLost(const std::string& server, const HostReports&, Instant now) const;
+    double warmupFraction(const ServerResource&, bool usable, Instant now);
     Millis longestWork() const;
 
     const Clock& m_clock;
@@ -43,18 +43,18 @@
     ClusterView& m_view;
     Election& m_election;
     PeerMesh& m_mesh;
-    LoadBook& m_loads;
+    LoadAggregator& m_loadAggregator;
     ViewSink m_sink;
     Counter& m_writes;
     Counter& m_reads;
-    Counter& m_moved;
+    Counter& m_slicesReassigned;
     int64_t m_term = 0; // of the office that the state below belongs to
     std::map<std::string, std::unique_ptr<ServiceAssigner>> m_services;
     std::unique_ptr<RosterAssigner> m_roster;
-    std::map<std::string, Member> m_listed; // live on the platform's list
-    std::map<std::string, Instant> m_listedAt; // when the list last showed a host as live
+    std::map<std::string, Member> m_liveHosts; // live on the platform's list
+    std::map<std::string, Instant> m_lastListedAt; // when the list last showed a host as live
     std::map<std::string, Instant> m_usableSince; // servers, for the cold start
-    bool m_listRead = false;
+    bool m_hostListRead = false;
 };
 
 }
--- a/packages/control/ClusterView.cpp
+++ b/packages/control/ClusterView.cpp
@@ -98,7 +98,7 @@
     if (value.key == rosterKey()) {
         auto roster = decodeRoster(value.value);
         if (!roster)
-            ++m_refused;
+            ++m_malformedValues;
         else if (applyRoster(std::move(*roster), value.modRevision).roster)
             change.roster = true;
         return;
@@ -106,7 +106,7 @@
     if (value.key.starts_with(tablesPrefix())) {
         auto table = decodeTable(value.value);
         if (!table)
-            ++m_refused;
+            ++m_malformedValues;
         else if (const auto name = table->service; applyTable(std::move(*table), value.modRevision).any())
             change.tables.insert(name);
         return;
@@ -142,21 +142,21 @@
 ViewChange ClusterView::applyTable(SliceTable table, int64_t modRevision)
 {
     ViewChange change;
-    auto& mod = m_modRevisions[tableKey(table.service)];
-    mod = std::max(mod, modRevision);
-    auto& held = m_tables[table.service];
-    if (held && held->version >= table.version)
+    auto& knownRevision = m_modRevisions[tableKey(table.service)];
+    knownRevision = std::max(knownRevision, modRevision);
+    auto& current = m_tables[table.service];
+    if (current && current->version >= table.version)
         return change;
     change.tables.insert(table.service);
-    held = std::make_shared<const SliceTable>(std::move(table));
+    current = std::make_shared<const SliceTable>(std::move(table));
     return change;
 }
 
 ViewChange ClusterView::applyRoster(Roster roster, int64_t modRevision)
 {
     ViewChange change;
-    auto& mod = m_modRevisions[rosterKey()];
-    mod = std::max(mod, modRevision);
+    auto& knownRevision = m_modRevisions[rosterKey()];
+    knownRevision = std::max(knownRevision, modRevision);
     if (m_roster->version >= roster.version)
         return change;
     m_roster = std::make_shared<const Roster>(std::move(roster));
@@ -179,7 +179,7 @@
                   return addToResources(*resources, stored.document);
               });
         if (fault) {
-            ++m_refused;
+            ++m_malformedValues;
             logChange(LogLevel::Error, "resource-refused", { { "key", key }, { "fault", fault->text() } });
         }
     }
--- a/packages/control/ClusterView.h
+++ b/packages/control/ClusterView.h
@@ -57,7 +57,7 @@
     int64_t modRevisionOf(const std::string& key) const; // for compares; 0 if absent
     std::string resourcesForPeers() const;
     const std::shared_ptr<const std::vector<ResourceEntry>>& entries() const { return m_entries; }
-    size_t refusedValues() const { return m_refused; } // values in the store that make no sense
+    size_t malformedValues() const { return m_malformedValues; } // values in the store that make no sense
 
 private:
     struct Document {
@@ -78,7 +78,7 @@
     std::map<std::string, std::shared_ptr<const SliceTable>, std::less<>> m_tables;
     std::map<std::string, int64_t> m_modRevisions; // of tables, roster and leader
     LeaderView m_leader;
-    size_t m_refused = 0;
+    size_t m_malformedValues = 0;
 };
 
 // Versions in a reading of the store, for the freshness decision.
--- a/packages/control/Control.cpp
+++ b/packages/control/Control.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-    constexpr Millis housekeepingEvery { 100 };
-    constexpr Millis worthTelling { 80 }; // a routing lease longer by less is not passed on
-    constexpr Millis staleReadEvery { 500 };
+    constexpr Millis housekeepingInterval { 100 };
+    constexpr Millis minLeaseExtension { 80 }; // a routing lease longer by less is not passed on
+    constexpr Millis staleReadInterval { 500 };
 
     HostLoad hostLoadOf(const wire::LoadReport& report)
     {
@@ -45,12 +45,12 @@
             report.slices.push_back(entry);
         }
         for (const auto& key : load.hotKeys) {
-            const uint64_t sure = key.weight - key.error;
-            if (sure * 1000 < total)
+            const uint64_t minWeight = key.weight - key.error;
+            if (minWeight * 1000 < total)
                 break; // under a thousandth: never worth a slice of its own
             wire::KeyLoad entry;
             entry.point = static_cast<int64_t>(key.point);
-            entry.busyMicrosPerSecond = perSecond(sure, load.over);
+            entry.busyMicrosPerSecond = perSecond(minWeight, load.over);
             report.hotKeys.push_back(entry);
         }
         return report;
@@ -64,7 +64,7 @@
     , m_clock(clock)
     , m_settings(settings)
     , m_metrics(metrics)
-    , m_board(board)
+    , m_statusBoard(board)
     , m_sink(std::move(sink))
     , m_freshness(settings.host.name, { settings.timing.lease })
     , m_mesh(executor, clock, settings, m_view, m_freshness, metrics, *this)
@@ -72,7 +72,7 @@
           executor, settings.host.peers.address, settings.host.peers.port, m_mesh, metrics.counter("peers_bytes_sent"))
     , m_follower(clock, settings, store, m_view, m_freshness, metrics, *this)
     , m_election(executor, clock, { settings.host.name, {}, settings.timing.leaderLease }, store, m_view, metrics)
-    , m_assigner(clock, settings, store, hostList, m_view, m_election, m_mesh, m_loads, metrics,
+    , m_assigner(clock, settings, store, hostList, m_view, m_election, m_mesh, m_loadAggregator, metrics,
           [this](const ViewChange& change) { onViewChange(change); })
 {
 }
@@ -82,7 +82,7 @@
     spawnLoop(m_executor, "store-follower", m_follower.run());
     spawnLoop(m_executor, "election", m_election.run());
     spawnLoop(m_executor, "assigner", m_assigner.run());
-    spawnLoop(m_executor, "host-list", m_assigner.followHostList());
+    spawnLoop(m_executor, "host-list", m_assigner.pollHostList());
     spawnLoop(m_executor, "housekeeping", housekeeping());
     spawnLoop(m_executor, "stale-reads", readStoreWhileStale());
 }
@@ -93,10 +93,10 @@
     co_await m_election.resign();
 }
 
-void Control::push(RoutingUpdate update)
+void Control::sendUpdate(RoutingUpdate update)
 {
     if (!m_sink(std::move(update)))
-        m_pushFailed = true;
+        m_updateLost = true;
 }
 
 void Control::onViewChange(const ViewChange& change)
@@ -108,23 +108,23 @@
         choosePeers();
         RoutingUpdate update;
         update.roster = m_view.roster();
-        push(std::move(update));
+        sendUpdate(std::move(update));
     }
     if (change.resources) {
         RoutingUpdate update;
         update.resources = m_view.resources();
-        push(std::move(update));
+        sendUpdate(std::move(update));
     }
     for (const auto& service : change.tables) {
         m_freshness.updateTableVersion(service, m_view.table(service)->version);
         RoutingUpdate update;
         update.table = m_view.table(service);
-        push(std::move(update));
+        sendUpdate(std::move(update));
     }
     if (change.any()) {
         m_mesh.refreshOwnState();
         publishFreshness();
-        showStatus(); // an operator who writes and then reads sees the write
+        publishStatus(); // an operator who writes and then reads sees the write
     }
 }
 
@@ -133,9 +133,9 @@
 void Control::onStoreRead()
 {
     m_mesh.refreshOwnState();
-    if (!m_configured)
-        publishAll(); // also an empty configuration is one
-    m_configured = true;
+    if (!m_configurationSent)
+        publishEverything(); // an empty configuration is sent too
+    m_configurationSent = true;
     publishFreshness();
 }
 
@@ -145,31 +145,31 @@
     RoutingUpdate update;
     for (const auto& [service, table] : m_view.tables()) {
         const FreshUntil fresh { service, table->version, m_freshness.validUntil(service, now) };
-        FreshUntil& told = m_toldFresh[service];
+        FreshUntil& lastSent = m_sentFreshness[service];
         // Every answer moves the lease by a little; waking the routing thread for each would cost more than all
         // the beats.
-        if (fresh.tableVersion == told.tableVersion && fresh.until < told.until + worthTelling)
+        if (fresh.tableVersion == lastSent.tableVersion && fresh.until < lastSent.until + minLeaseExtension)
             continue;
-        told = fresh;
+        lastSent = fresh;
         update.freshness.push_back(fresh);
     }
     if (!update.freshness.empty())
-        push(std::move(update));
+        sendUpdate(std::move(update));
 }
 
-void Control::publishAll()
+void Control::publishEverything()
 {
-    m_pushFailed = false;
-    m_toldFresh.clear();
-    m_toldRelays.clear();
+    m_updateLost = false;
+    m_sentFreshness.clear();
+    m_sentRelays.clear();
     RoutingUpdate update;
     update.resources = m_view.resources();
     update.roster = m_view.roster();
-    push(std::move(update));
+    sendUpdate(std::move(update));
     for (const auto& [service, table] : m_view.tables()) {
-        RoutingUpdate one;
-        one.table = table;
-        push(std::move(one));
+        RoutingUpdate tableUpdate;
+        tableUpdate.table = table;
+        sendUpdate(std::move(tableUpdate));
     }
     publishFreshness();
 }
@@ -200,7 +200,7 @@
 
 void Control::onPeerLoad(const wire::LoadReport& report)
 {
-    m_loads.report(report.sender, report.serviceName, hostLoadOf(report), m_clock.now());
+    m_loadAggregator.report(report.sender, report.serviceName, hostLoadOf(report), m_clock.now());
 }
 
 // Asks no more peers than a majority needs, one to spare: the assigner first, which must hear from every host,
@@ -209,7 +209,7 @@
 {
     const auto& roster = *m_view.roster();
     std::map<std::string, Member> wanted;
-    for (const auto& [name, member] : m_assigner.candidates()) {
+    for (const auto& [name, member] : m_assigner.liveHosts()) {
         if (!roster.isMember(name))
             wanted[name] = member;
     }
@@ -248,17 +248,17 @@
             const bool heard = m_mesh.heardSince(member.name, now - m_settings.timing.lease);
             if (!heard || member.state != MemberState::Member || report == reports.end())
                 continue;
-            const auto theirs = report->second.sights.find(server);
-            if (theirs != report->second.sights.end() && theirs->second == Reachability::Reachable)
+            const auto observation = report->second.sights.find(server);
+            if (observation != report->second.sights.end() && observation->second == Reachability::Reachable)
                 relays[server].push_back(member);
         }
     }
-    if (relays == m_toldRelays)
+    if (relays == m_sentRelays)
         return;
-    m_toldRelays = relays;
+    m_sentRelays = relays;
     RoutingUpdate update;
     update.relays = std::move(relays);
-    push(std::move(update));
+    sendUpdate(std::move(update));
 }
 
 asio::awaitable<void> Control::housekeeping()
@@ -268,10 +268,10 @@
         m_mesh.refreshOwnState();
         publishFreshness();
         publishRelays();
-        if (m_pushFailed)
-            publishAll();
-        showStatus();
-        co_await sleepFor(housekeepingEvery);
+        if (m_updateLost)
+            publishEverything();
+        publishStatus();
+        co_await sleepFor(housekeepingInterval);
     }
 }
 
@@ -279,20 +279,20 @@
 {
     // Second way to freshness: when the peers can't give it, most of the roster being gone, the store can.
     for (;;) {
-        co_await sleepFor(staleReadEvery / 2);
+        co_await sleepFor(staleReadInterval / 2);
         const Instant now = m_clock.now();
         bool stale = false;
         for (const auto& [service, table] : m_view.tables())
-            stale = stale || m_freshness.validUntil(service, now) < now + staleReadEvery / 2;
+            stale = stale || m_freshness.validUntil(service, now) < now + staleReadInterval / 2;
         if (!stale || !m_freshness.mayRoute())
             continue;
         m_metrics.counter("store_reads_stale").add();
         co_await m_follower.readAll();
-        co_await sleepFor(staleReadEvery / 2);
+        co_await sleepFor(staleReadInterval / 2);
     }
 }
 
-void Control::showStatus()
+void Control::publishStatus()
 {
     auto snapshot = std::make_shared<StatusSnapshot>();
     const Instant now = m_clock.now();
@@ -309,7 +309,7 @@
     for (const auto& [service, table] : m_view.tables())
         snapshot->freshForMillis[service] = (m_freshness.validUntil(service, now) - now).count();
     snapshot->reports = m_mesh.reports(now);
-    m_board.show(std::move(snapshot));
+    m_statusBoard.publish(std::move(snapshot));
 }
 
 }
--- a/packages/control/Control.h
+++ b/packages/control/Control.h
@@ -31,10 +31,10 @@
 
     void publishFreshness();
     void publishRelays();
-    void publishAll();
-    void push(RoutingUpdate);
+    void publishEverything();
+    void sendUpdate(RoutingUpdate);
     void choosePeers();
-    void showStatus();
+    void publishStatus();
     boost::asio::awaitable<void> housekeeping();
     boost::asio::awaitable<void> readStoreWhileStale();
     boost::asio::awaitable<void> sendLoads(std::map<std::string, ServiceLoad>);
@@ -43,7 +43,7 @@
     const Clock& m_clock;
     const Settings& m_settings;
     Metrics& m_metrics;
-    StatusBoard& m_board;
+    StatusBoard& m_statusBoard;
     UpdateSink m_sink;
     ClusterView m_view;
     RoutingLease m_freshness;
@@ -51,12 +51,12 @@
     PeerServer m_peerServer;
     StoreFollower m_follower;
     Election m_election;
-    LoadBook m_loads;
+    LoadAggregator m_loadAggregator;
     AssignerDriver m_assigner;
-    bool m_configured = false; // the routing duty was told the whole view once
-    std::map<std::string, FreshUntil> m_toldFresh; // newest that the routing duty was told, by service
-    std::map<std::string, std::vector<Member>> m_toldRelays;
-    bool m_pushFailed = false; // the ring was full: everything is sent again
+    bool m_configurationSent = false; // the routing duty was told the whole view once
+    std::map<std::string, FreshUntil> m_sentFreshness; // newest that the routing duty was told, by service
+    std::map<std::string, std::vector<Member>> m_sentRelays;
+    bool m_updateLost = false; // the ring was full: everything is sent again
 };
 
 }
--- a/packages/control/Election.cpp
+++ b/packages/control/Election.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-    constexpr Millis lookEvery { 500 };
-    constexpr Millis spreadOfCandidates { 50 };
+    constexpr Millis campaignCheckInterval { 500 };
+    constexpr Millis maxCampaignJitter { 50 };
     constexpr int64_t keepalivesPerLease = 3;
-    constexpr Millis othersFirst { 3'000 }; // long enough for another host to be elected and to take over
+    constexpr Millis stepDownPause { 3'000 }; // long enough for another host to be elected and to take over
 
     // Built outside the coroutines: g++ 12 mishandles lists of temporaries inside one.
-    std::vector<Compare> ifVacant() { return { { leaderKey(), 0 } }; }
+    std::vector<Compare> noLeaderExists() { return { { leaderKey(), 0 } }; }
 
     std::vector<WriteOperation> leaderWrite(const std::string& value, int64_t lease)
     {
@@ -44,20 +44,20 @@
 asio::awaitable<void> Election::run()
 {
     for (;;) {
-        const bool vacant = m_view.revision() && m_view.leader().host.empty();
-        if (m_standing && vacant && m_clock.now() >= m_notBefore && co_await stand())
-            co_await hold();
+        const bool noLeader = m_view.revision() && m_view.leader().host.empty();
+        if (m_mayCampaign && noLeader && m_clock.now() >= m_campaignNotBefore && co_await campaign())
+            co_await keepLeadership();
         else
-            co_await m_changed.wait(lookEvery);
+            co_await m_changed.wait(campaignCheckInterval);
     }
 }
 
-asio::awaitable<bool> Election::stand()
+asio::awaitable<bool> Election::campaign()
 {
     // Spread, so that not all hosts stand at the same moment.
-    Millis delay = randomBelow(spreadOfCandidates);
-    if (m_options.standDelay)
-        delay = m_options.standDelay();
+    Millis delay = randomBelow(maxCampaignJitter);
+    if (m_options.campaignDelay)
+        delay = m_options.campaignDelay();
     co_await sleepFor(delay);
     if (!m_view.leader().host.empty())
         co_return false;
@@ -67,43 +67,43 @@
     const LeaseReply lease = co_await m_store.grantLease(m_options.lease, m_options.callTimeout);
     if (lease.status != StoreStatus::Ok)
         co_return false;
-    m_lease = lease.id;
-    const auto vacant = ifVacant();
-    const auto writes = leaderWrite(encodeLeader({ m_options.host, m_nonce, m_options.address }), m_lease);
+    m_leaseId = lease.id;
+    const auto noLeader = noLeaderExists();
+    const auto writes = leaderWrite(encodeLeader({ m_options.host, m_nonce, m_options.address }), m_leaseId);
     m_writes.add();
-    const TxnReply reply = co_await m_store.txn(vacant, writes, m_options.callTimeout);
+    const TxnReply reply = co_await m_store.txn(noLeader, writes, m_options.callTimeout);
     if (reply.status == StoreStatus::Ok && reply.succeeded) {
         m_modRevision = reply.revision;
     } else if (reply.status == StoreStatus::Unavailable) {
         // The answer was lost, perhaps after the write took effect: the nonce tells.
         const RangeReply found = co_await m_store.range(leaderKey(), false, m_options.callTimeout);
-        const bool mine = !found.values.empty()
+        const bool wonByThisHost = !found.values.empty()
             && found.values.front().value == encodeLeader({ m_options.host, m_nonce, m_options.address });
-        m_modRevision = mine ? found.values.front().modRevision : 0;
+        m_modRevision = wonByThisHost ? found.values.front().modRevision : 0;
     }
     if (!m_modRevision) {
         m_writes.add();
-        co_await m_store.revokeLease(m_lease, m_options.callTimeout);
+        co_await m_store.revokeLease(m_leaseId, m_options.callTimeout);
         co_return false;
     }
     m_confirmedAt = askedAt;
     m_validUntil = askedAt + m_options.lease;
     m_won.add();
     logChange(LogLevel::Info, "assigner-elected", { { "term", m_modRevision } });
-    tellChange();
+    notifyChange();
     co_return true;
 }
 
-asio::awaitable<void> Election::hold()
+asio::awaitable<void> Election::keepLeadership()
 {
-    const Millis every = m_options.lease / keepalivesPerLease;
+    const Millis interval = m_options.lease / keepalivesPerLease;
     while (m_modRevision) {
-        co_await sleepFor(every);
+        co_await sleepFor(interval);
         if (!m_modRevision)
             break; // given back meanwhile
         const Instant askedAt = m_clock.now();
         m_writes.add();
-        const LeaseReply kept = co_await m_store.keepLease(m_lease, every * 2);
+        const LeaseReply kept = co_await m_store.keepLease(m_leaseId, interval * 2);
         if (!m_modRevision)
             break;
         if (kept.status == StoreStatus::Ok && kept.ttl.count() > 0) {
@@ -118,31 +118,31 @@
             continue; // the store is silent: the office may still be this host's when it is back
         logChange(LogLevel::Warning, "assigner-deposed", { { "term", m_modRevision } });
         m_modRevision = 0;
-        tellChange();
+        notifyChange();
     }
-    if (std::exchange(m_abandoned, false))
-        co_await m_store.revokeLease(m_lease, m_options.callTimeout);
+    if (std::exchange(m_steppedDown, false))
+        co_await m_store.revokeLease(m_leaseId, m_options.callTimeout);
 }
 
-void Election::tellChange()
+void Election::notifyChange()
 {
-    if (m_options.whenChanged)
-        m_options.whenChanged();
+    if (m_options.onLeadershipChange)
+        m_options.onLeadershipChange();
 }
 
-void Election::abandon()
+void Election::stepDown()
 {
-    m_abandoned = m_modRevision != 0;
-    m_notBefore = m_clock.now() + othersFirst;
+    m_steppedDown = m_modRevision != 0;
+    m_campaignNotBefore = m_clock.now() + stepDownPause;
     m_modRevision = 0;
 }
 
 asio::awaitable<bool> Election::resign()
 {
-    m_standing = false;
+    m_mayCampaign = false;
     if (!m_modRevision)
         co_return true;
-    const StoreStatus status = co_await m_store.revokeLease(m_lease, m_options.callTimeout);
+    const StoreStatus status = co_await m_store.revokeLease(m_leaseId, m_options.callTimeout);
     if (status != StoreStatus::Ok)
         co_return false;
     m_modRevision = 0;
--- a/packages/control/LoadBook.h
+++ b/packages/control/LoadAggregator.h
@@ -17,7 +17,7 @@
     std::map<uint64_t, double> keys; // by point
 };
 
-class LoadBook {
+class LoadAggregator {
 public:
     void report(const std::string& host, const std::string& service, HostLoad, Instant now);
 
@@ -27,14 +27,14 @@
     std::vector<HotKey> hotKeys(const SliceTable&) const; // keys heavy enough for a slice of their own, hottest first
 
 private:
-    struct Book {
+    struct ServiceLoads {
         std::map<std::string, std::pair<HostLoad, Instant>> hosts;
         std::map<uint64_t, double> average; // by slice begin
-        uint64_t averages = 0; // how many reports the average holds
+        uint64_t samples = 0; // how many reports the average holds
         Instant averagedAt {};
     };
 
-    std::map<std::string, Book> m_books;
+    std::map<std::string, ServiceLoads> m_services;
 };
 
 }
--- a/packages/control/PeerMesh.cpp
+++ b/packages/control/PeerMesh.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    constexpr uint64_t firstSequences = 1 << 26;
+    constexpr uint64_t firstSequenceRange = 1 << 26;
 
 }
 
@@ -23,13 +23,13 @@
     , m_freshness(freshness)
     , m_bytesSent(metrics.counter("peers_bytes_sent"))
     , m_beats(metrics.counter("peers_beats"))
-    , m_missedBeats(metrics.counter("peers_beats_missed"))
+    , m_beatsMissed(metrics.counter("peers_beats_missed"))
     , m_events(events)
     // Not from 0: a peer must not take this incarnation's first states for ones it already holds. Short, since it
     // travels with every beat.
-    , m_sequence(1 + static_cast<int64_t>(randomNumber() % firstSequences))
+    , m_sequence(1 + static_cast<int64_t>(randomNumber() % firstSequenceRange))
     , m_startedAt(clock.now())
-    , m_urgent(executor)
+    , m_stateChanged(executor)
 {
     m_own.report.incarnation = randomNumber();
 }
@@ -46,7 +46,7 @@
         return;
     m_own = std::move(next);
     ++m_sequence;
-    m_urgent.notifyAll();
+    m_stateChanged.notifyAll();
 }
 
 void PeerMesh::refreshOwnState()
@@ -81,13 +81,13 @@
     }
 }
 
-wire::Beat PeerMesh::makeBeat(int64_t theyHold, int64_t sequence) const
+wire::Beat PeerMesh::makeBeat(int64_t ackedSequence, int64_t sequence) const
 {
     wire::Beat beat;
     beat.sender = m_settings.host.name;
     beat.sequence = m_sequence;
     beat.holds = sequence;
-    if (theyHold != m_sequence) {
+    if (ackedSequence != m_sequence) {
         PeerState state = m_own;
         state.report.age = m_clock.now() - m_startedAt;
         beat.__set_state(toWire(state));
@@ -95,12 +95,12 @@
     return beat;
 }
 
-void PeerMesh::takeState(Peer& peer, const wire::Beat& beat)
+void PeerMesh::recordBeat(Peer& peer, const wire::Beat& beat)
 {
     const Instant now = m_clock.now();
     peer.heard = true;
     peer.heardAt = now;
-    peer.theyHold = beat.holds;
+    peer.ackedSequence = beat.holds;
     if (!beat.__isset.state)
         return;
     peer.state = fromWire(beat.state);
@@ -112,8 +112,8 @@
 {
     while (m_peers[name].link == link) {
         const Instant askedAt = m_clock.now();
-        const wire::Beat ask = makeBeat(m_peers[name].theyHold, m_peers[name].sequence);
-        const int64_t sent = m_sequence;
+        const wire::Beat ask = makeBeat(m_peers[name].ackedSequence, m_peers[name].sequence);
+        const int64_t sentSequence = m_sequence;
         const auto answer = co_await link->beat(ask, m_settings.timing.lease);
         if (m_peers[name].link != link)
             co_return;
@@ -121,26 +121,26 @@
         if (answer) {
             m_beats.add();
             peer.answeredAt = m_clock.now();
-            takeState(peer, *answer);
+            recordBeat(peer, *answer);
             // Without a state the answer speaks of the one that this host holds; of another one it says nothing.
             if (answer->sequence == peer.sequence) {
                 m_freshness.recordPeerAnswer(name, askedAt, peer.state.known, peer.state.report.counts);
                 refreshOwnState();
                 m_events.onFreshness();
-                co_await fetchNewer(name, link);
+                co_await fetchNewerVersions(name, link);
             }
         } else {
-            m_missedBeats.add();
-            peer.theyHold = 0;
+            m_beatsMissed.add();
+            peer.ackedSequence = 0;
         }
-        if (sent == m_sequence)
-            co_await m_urgent.wait(m_settings.timing.beat);
+        if (sentSequence == m_sequence)
+            co_await m_stateChanged.wait(m_settings.timing.beat);
         else
             co_await sleepFor(Millis(5)); // changed meanwhile: tell at once, but in batches
     }
 }
 
-asio::awaitable<void> PeerMesh::fetchNewer(std::string name, std::shared_ptr<PeerLink> link)
+asio::awaitable<void> PeerMesh::fetchNewerVersions(std::string name, std::shared_ptr<PeerLink> link)
 {
     const Millis timeout = m_settings.timing.lease;
     const PeerState state = m_peers[name].state;
@@ -206,7 +206,7 @@
 wire::Beat PeerMesh::onBeat(const wire::Beat& ask)
 {
     Peer& peer = m_peers[ask.sender];
-    takeState(peer, ask);
+    recordBeat(peer, ask);
     refreshOwnState();
     return makeBeat(ask.holds, peer.sequence);
 }
--- a/packages/control/PeerMesh.h
+++ b/packages/control/PeerMesh.h
@@ -55,7 +55,7 @@
         Member member;
         std::shared_ptr<PeerLink> link; // null: not asked by this host
         int64_t sequence = 0; // of the state held
-        int64_t theyHold = 0; // sequence of this host's state that the peer holds
+        int64_t ackedSequence = 0; // sequence of this host's state that the peer holds
         PeerState state;
         Instant stateAt {};
         Instant heardAt {};
@@ -64,9 +64,9 @@
     };
 
     boost::asio::awaitable<void> beatLoop(std::string name, std::shared_ptr<PeerLink>);
-    boost::asio::awaitable<void> fetchNewer(std::string name, std::shared_ptr<PeerLink>);
-    void takeState(Peer&, const wire::Beat&);
-    wire::Beat makeBeat(int64_t theyHold, int64_t sequence) const;
+    boost::asio::awaitable<void> fetchNewerVersions(std::string name, std::shared_ptr<PeerLink>);
+    void recordBeat(Peer&, const wire::Beat&);
+    wire::Beat makeBeat(int64_t ackedSequence, int64_t sequence) const;
 
     boost::asio::any_io_executor m_executor;
     const Clock& m_clock;
@@ -75,13 +75,13 @@
     RoutingLease& m_freshness;
     Counter& m_bytesSent;
     Counter& m_beats;
-    Counter& m_missedBeats;
+    Counter& m_beatsMissed;
     MeshEvents& m_events;
     std::map<std::string, Peer, std::less<>> m_peers;
     PeerState m_own;
     int64_t m_sequence;
     Instant m_startedAt;
-    Signal m_urgent; // own state changed: beat now
+    Signal m_stateChanged; // own state changed: beat now
 };
 
 }
--- a/packages/control/StatusBoard.h
+++ b/packages/control/StatusBoard.h
@@ -26,7 +26,7 @@
 
 class StatusBoard {
 public:
-    void show(std::shared_ptr<const StatusSnapshot> snapshot)
+    void publish(std::shared_ptr<const StatusSnapshot> snapshot)
     {
         std::lock_guard lock(m_mutex);
         m_snapshot = std::move(snapshot);
--- a/packages/control/StoreFollower.cpp
+++ b/packages/control/StoreFollower.cpp
@@ -12,8 +12,8 @@
 namespace {
 
     constexpr Millis callTimeout { 3000 }; // a slow store still answers
-    constexpr Millis shortestPause { 200 };
-    constexpr Millis longestPause { 2000 };
+    constexpr Millis minBackoff { 200 };
+    constexpr Millis maxBackoff { 2000 };
 
     Millis jittered(Millis base) { return base / 2 + randomBelow(base); }
 
@@ -40,9 +40,9 @@
     m_reads.add();
     const RangeReply reply = co_await m_store.range(std::string(storePrefix), true, callTimeout);
     const bool answers = reply.status == StoreStatus::Ok;
-    if (answers != m_answers)
+    if (answers != m_storeAnswers)
         logChange(answers ? LogLevel::Info : LogLevel::Warning, answers ? "store-answers" : "store-silent");
-    m_answers = answers;
+    m_storeAnswers = answers;
     if (!answers) {
         m_failures.add();
         co_return false;
@@ -50,11 +50,11 @@
     // Asked after it had shown a higher revision: it was set back, and what it says now would undo accepted
     // configuration. It is refused until it has caught up, and then still until everything that was accepted is
     // there again: a resource that the set-back lost must not be taken for one that an operator deleted.
-    const bool wentBack = reply.revision < seen || (m_wentBack && !m_view.coveredBy(reply));
-    if (wentBack != m_wentBack)
+    const bool wentBack = reply.revision < seen || (m_storeWentBack && !m_view.coveredBy(reply));
+    if (wentBack != m_storeWentBack)
         logChange(wentBack ? LogLevel::Error : LogLevel::Info, wentBack ? "store-went-back" : "store-caught-up",
             { { "seen", seen }, { "answered", reply.revision } });
-    m_wentBack = wentBack;
+    m_storeWentBack = wentBack;
     if (wentBack)
         co_return false;
     const ViewChange change = m_view.applySnapshot(reply);
@@ -77,21 +77,21 @@
 
 asio::awaitable<void> StoreFollower::run()
 {
-    Millis pause = shortestPause;
+    Millis backoff = minBackoff;
     for (;;) {
         if (!co_await readAll()) {
-            co_await sleepFor(jittered(pause));
-            pause = std::min(longestPause, pause * 2);
+            co_await sleepFor(jittered(backoff));
+            backoff = std::min(maxBackoff, backoff * 2);
             continue;
         }
-        pause = shortestPause;
+        backoff = minBackoff;
         m_watches.add();
         const Instant startedAt = m_clock.now();
         co_await m_store.watch(std::string(storePrefix), m_view.revision() + 1, m_settings.timing.reread,
             [this](int64_t revision, const std::vector<WatchEvent>& events) { return onEvents(revision, events); });
         // A watch that ends at once must not turn this into a busy loop of reads.
-        if (m_clock.now() - startedAt < shortestPause)
-            co_await sleepFor(jittered(pause));
+        if (m_clock.now() - startedAt < minBackoff)
+            co_await sleepFor(jittered(backoff));
     }
 }
 
--- a/packages/control/StoreFollower.h
+++ b/packages/control/StoreFollower.h
@@ -22,8 +22,8 @@
     StoreFollower(const Clock&, const Settings&, Store&, ClusterView&, RoutingLease&, Metrics&, FollowerEvents&);
     boost::asio::awaitable<void> run(); // forever
     boost::asio::awaitable<bool> readAll(); // false: no answer, or one that must not be believed
-    bool storeAnswers() const { return m_answers; }
-    bool storeWentBack() const { return m_wentBack; }
+    bool storeAnswers() const { return m_storeAnswers; }
+    bool storeWentBack() const { return m_storeWentBack; }
 
 private:
     bool onEvents(int64_t revision, const std::vector<WatchEvent>&);
@@ -37,8 +37,8 @@
     Counter& m_reads;
     Counter& m_watches;
     Counter& m_failures;
-    bool m_answers = false;
-    bool m_wentBack = false;
+    bool m_storeAnswers = false;
+    bool m_storeWentBack = false;
 };
 
 }
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -72,7 +72,7 @@
 
 // The view may know of a newer coordinator before the election's next word from the store: this host reports to that
 // one from then on, and must have stopped.
-bool Coordinator::inOffice() const { return m_election.holds() && m_view.leader().modRevision <= m_election.term(); }
+bool Coordinator::inOffice() const { return m_election.isLeader() && m_view.leader().modRevision <= m_election.term(); }
 
 bool Coordinator::readyForTerm() const { return m_view.revision() >= m_election.term() && m_view.rules(); }
 
@@ -132,7 +132,7 @@
         logEvents(*plan);
         if (plan->deposed()) {
             logChange(LogLevel::Warning, "coordinator-refused", { { "term", m_term }, { "service", service } });
-            m_election.abandon();
+            m_election.stepDown();
             endTerm();
             return;
         }
@@ -144,7 +144,7 @@
         m_silentSince = now;
     else if (now - m_silentSince > cutOffAfter) {
         logChange(LogLevel::Warning, "coordinator-cut-off", { { "term", m_term } });
-        m_election.abandon();
+        m_election.stepDown();
         endTerm();
         return;
     }
--- a/packages/gateway/GatewayControl.cpp
+++ b/packages/gateway/GatewayControl.cpp
@@ -51,8 +51,8 @@
         options.address = textOf(settings.host.peers);
         options.lease = leaseOf(*settings.gateway);
         options.callTimeout = Millis(800); // of a store that answers slowly; a lost answer is asked for again
-        options.whenChanged = std::move(whenChanged);
-        options.standDelay = std::move(standDelay);
+        options.onLeadershipChange = std::move(whenChanged);
+        options.campaignDelay = std::move(standDelay);
         return options;
     }
 
@@ -461,7 +461,7 @@
     m_coordinatorAnswers = answers;
     if (answers)
         takeAdvice(*advice, named);
-    if (!answers || m_election.holds() || m_standsBy || Millis(advice->storeSilentMillis) > storeSilentTooLong)
+    if (!answers || m_election.isLeader() || m_standsBy || Millis(advice->storeSilentMillis) > storeSilentTooLong)
         m_follower.onItsOwn();
     else
         m_follower.fed(advice->lastChange, Millis(advice->storeSilentMillis));
@@ -506,7 +506,7 @@
     status["storeRevision"] = m_view.revision();
     status["coordinator"] = m_view.leader().host;
     status["term"] = m_view.leader().modRevision;
-    status["coordinates"] = m_election.holds();
+    status["coordinates"] = m_election.isLeader();
     json::array servers;
     for (const auto& [id, server] : *m_view.servers())
         servers.push_back(json::object { { "id", id }, { "service", server.service }, { "leaving", server.leaving } });
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -13,34 +13,35 @@
 namespace {
 
 // A store that was read and shows no leader.
-class VacantOffice final : public LeaderSource {
+class NoLeaderSource final : public LeaderSource {
 public:
     int64_t revision() const override { return 1; }
-    const LeaderView& leader() const override { return m_nobody; }
+    const LeaderView& leader() const override { return m_noLeader; }
 
 private:
-    LeaderView m_nobody;
+    LeaderView m_noLeader;
 };
 
-struct Standing {
+struct ElectionFixture {
     boost::asio::io_context context;
     SystemClock clock;
     Metrics metrics;
     FakeStore store;
-    VacantOffice office;
+    NoLeaderSource leaderSource;
     Election election;
 
-    explicit Standing(std::function<Millis()> standDelay = {})
-        : election(context.get_executor(), clock, optionsWith(std::move(standDelay)), store, office, metrics)
+    explicit ElectionFixture(std::function<Millis()> campaignDelay = {})
+        : election(
+            context.get_executor(), clock, electionOptions(std::move(campaignDelay)), store, leaderSource, metrics)
     {
         boost::asio::co_spawn(context, election.run(), boost::asio::detached);
     }
 
-    static ElectionOptions optionsWith(std::function<Millis()> standDelay)
+    static ElectionOptions electionOptions(std::function<Millis()> campaignDelay)
     {
         ElectionOptions options;
         options.host = "host-a";
-        options.standDelay = std::move(standDelay);
+        options.campaignDelay = std::move(campaignDelay);
         return options;
     }
 };
@@ -52,17 +53,17 @@
 // branch of a condition inside an awaited call.
 TEST_CASE("a host without a delay of its own stands for a vacant office and wins it")
 {
-    Standing standing;
-    standing.context.run_for(Millis(300));
-    CHECK(standing.election.holds());
-    CHECK(standing.election.mayAct());
+    ElectionFixture candidate;
+    candidate.context.run_for(Millis(300));
+    CHECK(candidate.election.isLeader());
+    CHECK(candidate.election.mayAct());
 }
 
 TEST_CASE("a host with a delay waits for it before it stands")
 {
-    Standing standing([] { return Millis(200); });
-    standing.context.run_for(Millis(100));
-    CHECK_FALSE(standing.election.holds());
-    standing.context.run_for(Millis(400));
-    CHECK(standing.election.holds());
+    ElectionFixture candidate([] { return Millis(200); });
+    candidate.context.run_for(Millis(100));
+    CHECK_FALSE(candidate.election.isLeader());
+    candidate.context.run_for(Millis(400));
+    CHECK(candidate.election.isLeader());
 }
--- a/tests/fake_store.h
+++ b/tests/fake_store.h
@@ -29,7 +29,7 @@
 
     boost::asio::awaitable<RangeReply> range(std::string key, bool prefix, Millis) override
     {
-        if (take(rangeFaults) != Fault::None)
+        if (nextFault(rangeFaults) != Fault::None)
             co_return RangeReply {};
         RangeReply reply;
         reply.status = StoreStatus::Ok;
@@ -46,7 +46,7 @@
     {
         if (beforeTxn)
             std::exchange(beforeTxn, nullptr)();
-        const Fault fault = take(txnFaults);
+        const Fault fault = nextFault(txnFaults);
         TxnReply reply;
         if (fault == Fault::Down)
             co_return reply;
@@ -80,12 +80,12 @@
     }
 
 private:
-    static Fault take(std::deque<Fault>& script)
+    static Fault nextFault(std::deque<Fault>& faults)
     {
-        if (script.empty())
+        if (faults.empty())
             return Fault::None;
-        const Fault fault = script.front();
-        script.pop_front();
+        const Fault fault = faults.front();
+        faults.pop_front();
         return fault;
     }
 
