--- a/packages/control/AssignerDriver.cpp
+++ b/packages/control/AssignerDriver.cpp
@@ -17,7 +17,8 @@
     constexpr Millis stepInterval { 30 };
     constexpr Millis callTimeout { 3000 };
     constexpr Millis hostListInterval { 500 };
-    constexpr Millis hostTimeout { 1000 }; // a host not heard for so long has no say about servers
+    // A host not heard from for longer isn't added to the roster, and its observations of servers are ignored.
+    constexpr Millis hostTimeout { 1000 };
 
     AssignerOptions assignerOptions(const Settings& settings)
     {
@@ -26,7 +27,7 @@
         return options;
     }
 
-    // Built outside the coroutine: g++ 12 mishandles lists of temporaries inside one.
+    // Built outside the coroutine, because g++ 12 miscompiles initializer lists of temporaries inside coroutines.
     std::vector<Compare> leaderAndTargetUnchanged(Compare leader, Compare target)
     {
         return { std::move(leader), std::move(target) };
@@ -184,8 +185,8 @@
         change = apply(reply.revision);
         co_return true;
     }
-    // No answer, or somebody else wrote: what stands there now decides. A write whose answer was lost is found
-    // here and goes on from there.
+    // The store gave no answer, or another host has written the key. The view takes over the stored value. If only the
+    // answer to this host's write was lost, that value is the one written, and the next step continues from it.
     m_reads.add();
     const RangeReply found = co_await m_store.range(key, false, callTimeout);
     if (found.status == StoreStatus::Ok) {
@@ -237,7 +238,7 @@
         if (placement.service == service.name)
             view.placement.constraints.push_back(resolve(placement));
     }
-    // A move for evenness alone must not leave keys waiting for a host that has just died.
+    // A move that only balances load must not leave keys waiting for a host that has just died.
     for (const auto& member : m_view.roster()->members)
         view.allHostsAnswer = view.allHostsAnswer
             && (member.name == m_settings.host.name
--- a/packages/control/AssignerDriver.h
+++ b/packages/control/AssignerDriver.h
@@ -1,4 +1,5 @@
-// Runs the assigner's decisions while this host holds the office: gathers their input, commits their output.
+// Runs the assigner while this host is the leader: gathers the input of its decisions and commits their output to the
+// store.
 #pragma once
 
 #include "control/ClusterView.h"
@@ -22,8 +23,9 @@
     AssignerDriver(const Clock&, const Settings&, Store&, HostList&, ClusterView&, Election&, PeerMesh&,
         LoadAggregator&, Metrics&, ViewSink);
     boost::asio::awaitable<void> run(); // forever
-    boost::asio::awaitable<void> pollHostList(); // forever; asks only while in office
-    const std::map<std::string, Member>& liveHosts() const { return m_liveHosts; } // hosts on the list, to beat with
+    boost::asio::awaitable<void> pollHostList(); // forever; reads the list only while this host is the leader
+    // Hosts on the platform's list that aren't leaving. They get heartbeats too.
+    const std::map<std::string, Member>& liveHosts() const { return m_liveHosts; }
 
 private:
     boost::asio::awaitable<void> step();
@@ -48,12 +50,12 @@
     Counter& m_writes;
     Counter& m_reads;
     Counter& m_slicesReassigned;
-    int64_t m_term = 0; // of the office that the state below belongs to
+    int64_t m_term = 0; // the leadership term that m_services and m_roster belong to; 0: none
     std::map<std::string, std::unique_ptr<ServiceAssigner>> m_services;
     std::unique_ptr<RosterAssigner> m_roster;
-    std::map<std::string, Member> m_liveHosts; // live on the platform's list
-    std::map<std::string, Instant> m_lastListedAt; // when the list last showed a host as live
-    std::map<std::string, Instant> m_usableSince; // servers, for the cold start
+    std::map<std::string, Member> m_liveHosts; // on the platform's list and not leaving
+    std::map<std::string, Instant> m_lastListedAt; // when the list last showed the host and it wasn't leaving
+    std::map<std::string, Instant> m_usableSince; // when each server was last unusable; its cold start counts from then
     bool m_hostListRead = false;
 };
 
--- a/packages/control/ClusterView.cpp
+++ b/packages/control/ClusterView.cpp
@@ -131,7 +131,8 @@
     }
     if (!isKind(kindOf(key)))
         return;
-    // Kept although it was never seen: a peer that holds the erasure must not look newer than this host forever.
+    // The tombstone is kept even if this host never had the resource. Otherwise a peer with the tombstone would always
+    // report a higher resource revision than this host, and this host would fetch its resources again and again.
     Document& document = m_documents[key];
     if (revision <= document.modRevision)
         return;
--- a/packages/control/ClusterView.h
+++ b/packages/control/ClusterView.h
@@ -1,7 +1,8 @@
-// What this host knows of the store's content: resources, roster, tables, leader. Each part only moves forward.
+// This host's copy of the store's content: resources, roster, tables and leader.
 //
-// It hears of the same write several times and in any order: from its watch, from reading the store, from
-// peers. A resource is replaced only by a later revision, a table or the roster only by a higher version.
+// The same write can arrive several times and in any order: from the watch, from reads of the store and from peers.
+// No part ever goes back to an older state: a resource is replaced only by a later revision, a table or the roster only
+// by a higher version.
 #pragma once
 
 #include "control/LeaderSource.h"
@@ -27,12 +28,12 @@
     std::string text; // as stored
 };
 
-// Which parts changed.
+// The parts of a ClusterView that an update changed.
 struct ViewChange {
     bool resources = false;
     bool roster = false;
     bool leader = false;
-    std::set<std::string> tables; // services
+    std::set<std::string> tables; // services whose table changed
 
     bool any() const { return resources || roster || leader || !tables.empty(); }
 };
@@ -41,28 +42,30 @@
 public:
     // --- Writing
     ViewChange applyEvents(int64_t revision, const std::vector<WatchEvent>&);
-    ViewChange applySnapshot(const RangeReply&); // of everything under storePrefix; keys not in it are gone
-    ViewChange applyTable(SliceTable, int64_t modRevision); // modRevision 0: from a peer, not known
+    // The reply is for all keys under storePrefix; resources and the leader missing from it count as deleted.
+    ViewChange applySnapshot(const RangeReply&);
+    ViewChange applyTable(SliceTable, int64_t modRevision); // modRevision 0: unknown, for a table received from a peer
     ViewChange applyRoster(Roster, int64_t modRevision);
-    ViewChange applyPeerResources(std::string_view text); // as resourcesForPeers() gives it
+    ViewChange applyPeerResources(std::string_view text); // the result of resourcesForPeers() on another host
 
     // --- Reading
-    bool coveredBy(const RangeReply&) const; // every resource held is in it, as it is here or written later
+    // Whether the reply has every resource of this view, with the same text or at least the same revision.
+    bool coveredBy(const RangeReply&) const;
     int64_t revision() const override { return m_revision; }
     const std::shared_ptr<const Resources>& resources() const { return m_resources; }
     const std::shared_ptr<const Roster>& roster() const { return m_roster; }
     const LeaderView& leader() const override { return m_leader; }
-    std::shared_ptr<const SliceTable> table(std::string_view service) const; // null if unknown
+    std::shared_ptr<const SliceTable> table(std::string_view service) const; // null if the service has no known table
     const std::map<std::string, std::shared_ptr<const SliceTable>, std::less<>>& tables() const { return m_tables; }
-    int64_t modRevisionOf(const std::string& key) const; // for compares; 0 if absent
+    int64_t modRevisionOf(const std::string& key) const; // for the conditions of transactions; 0 if unknown
     std::string resourcesForPeers() const;
     const std::shared_ptr<const std::vector<ResourceEntry>>& entries() const { return m_entries; }
-    size_t malformedValues() const { return m_malformedValues; } // values in the store that make no sense
+    size_t malformedValues() const { return m_malformedValues; } // failed attempts to decode a stored value
 
 private:
     struct Document {
         int64_t modRevision = 0;
-        bool erased = false; // kept, so that an older write can't bring it back
+        bool erased = false; // a tombstone, kept so that an older write can't restore the resource
         std::string text;
     };
 
@@ -81,7 +84,7 @@
     size_t m_malformedValues = 0;
 };
 
-// Versions in a reading of the store, for the freshness decision.
+// The versions of the roster and the tables in a reply of the store, for the routing lease.
 KnownVersions versionsIn(const RangeReply&);
 
 }
--- a/packages/control/Control.cpp
+++ b/packages/control/Control.cpp
@@ -10,7 +10,7 @@
 namespace {
 
     constexpr Millis housekeepingInterval { 100 };
-    constexpr Millis minLeaseExtension { 80 }; // a routing lease longer by less is not passed on
+    constexpr Millis minLeaseExtension { 80 }; // smaller extensions aren't sent to the routing thread
     constexpr Millis staleReadInterval { 500 };
 
     HostLoad hostLoadOf(const wire::LoadReport& report)
@@ -47,7 +47,7 @@
         for (const auto& key : load.hotKeys) {
             const uint64_t minWeight = key.weight - key.error;
             if (minWeight * 1000 < total)
-                break; // under a thousandth: never worth a slice of its own
+                break; // under a thousandth of the load: too little for a slice of its own
             wire::KeyLoad entry;
             entry.point = static_cast<int64_t>(key.point);
             entry.busyMicrosPerSecond = perSecond(minWeight, load.over);
@@ -89,7 +89,7 @@
 
 asio::awaitable<void> Control::leave()
 {
-    // Without the store's word the lease lapses by itself; owners stay as they are until then.
+    // If the store doesn't answer, the leader's lease expires by itself. Until then no owner changes.
     co_await m_election.resign();
 }
 
@@ -124,7 +124,7 @@
     if (change.any()) {
         m_mesh.refreshOwnState();
         publishFreshness();
-        publishStatus(); // an operator who writes and then reads sees the write
+        publishStatus(); // so that an operator who reads the status after a write sees the write
     }
 }
 
@@ -134,7 +134,7 @@
 {
     m_mesh.refreshOwnState();
     if (!m_configurationSent)
-        publishEverything(); // an empty configuration is sent too
+        publishEverything(); // even if the configuration is empty
     m_configurationSent = true;
     publishFreshness();
 }
@@ -146,8 +146,8 @@
     for (const auto& [service, table] : m_view.tables()) {
         const FreshUntil fresh { service, table->version, m_freshness.validUntil(service, now) };
         FreshUntil& lastSent = m_sentFreshness[service];
-        // Every answer moves the lease by a little; waking the routing thread for each would cost more than all
-        // the beats.
+        // Every heartbeat answer extends the lease a little. Waking the routing thread for each of them would cost more
+        // than all heartbeats together.
         if (fresh.tableVersion == lastSent.tableVersion && fresh.until < lastSent.until + minLeaseExtension)
             continue;
         lastSent = fresh;
@@ -203,8 +203,10 @@
     m_loadAggregator.report(report.sender, report.serviceName, hostLoadOf(report), m_clock.now());
 }
 
-// Asks no more peers than a majority needs, one to spare: the assigner first, which must hear from every host,
-// then those that follow this host in the roster. Each that does not answer is made up for by another.
+// Selects the peers to send heartbeats to: live hosts outside the roster (known to the assigner alone), the assigner,
+// which must hear from every host, and the members that follow this host in the roster, until as many members as a
+// majority has are answering. Together with this host that is one more than a majority needs. Each member that doesn't
+// answer is replaced by the next one.
 void Control::choosePeers()
 {
     const auto& roster = *m_view.roster();
@@ -234,7 +236,8 @@
     m_mesh.setPeers(wanted);
 }
 
-// Servers that only this host can't reach: nothing moves for them, and their requests go through a host that can.
+// Sends the routing thread the servers that this host can't reach but other hosts can, with these hosts. The servers
+// keep their slices, and requests to them are relayed through one of these hosts.
 void Control::publishRelays()
 {
     const Instant now = m_clock.now();
@@ -277,7 +280,8 @@
 
 asio::awaitable<void> Control::readStoreWhileStale()
 {
-    // Second way to freshness: when the peers can't give it, most of the roster being gone, the store can.
+    // The second way to renew the routing lease: if most of the roster is down, peers can't renew it, but an answer of
+    // the store can.
     for (;;) {
         co_await sleepFor(staleReadInterval / 2);
         const Instant now = m_clock.now();
--- a/packages/control/Control.h
+++ b/packages/control/Control.h
@@ -1,5 +1,6 @@
-// The control duty: follows the store, beats with peers, stands for election, runs the assigner, and tells the
-// routing duty what it may do. One thread; everything here is a coroutine on it.
+// The control thread of a host: follows the store, exchanges heartbeats with peers, takes part in leader election, runs
+// the assigner, and sends the routing thread its configuration and lease. All functions run as coroutines on this one
+// thread.
 #pragma once
 
 #include "control/AssignerDriver.h"
@@ -14,14 +15,14 @@
 
 class Control final : public MeshEvents, public FollowerEvents {
 public:
-    using UpdateSink = std::function<bool(RoutingUpdate)>; // false: the ring is full
+    using UpdateSink = std::function<bool(RoutingUpdate)>; // false: the queue to the routing thread is full
 
     Control(boost::asio::any_io_executor, const Clock&, const Settings&, Store&, HostList&, Metrics&, StatusBoard&,
         UpdateSink);
 
     void start();
     void onRoutingReport(RoutingReport);
-    boost::asio::awaitable<void> leave(); // gives up the office, if it holds it
+    boost::asio::awaitable<void> leave(); // gives up the leadership if this host is the leader
 
 private:
     void onViewChange(const ViewChange&) override;
@@ -53,10 +54,10 @@
     Election m_election;
     LoadAggregator m_loadAggregator;
     AssignerDriver m_assigner;
-    bool m_configurationSent = false; // the routing duty was told the whole view once
-    std::map<std::string, FreshUntil> m_sentFreshness; // newest that the routing duty was told, by service
-    std::map<std::string, std::vector<Member>> m_sentRelays;
-    bool m_updateLost = false; // the ring was full: everything is sent again
+    bool m_configurationSent = false; // whether the routing thread has been sent the whole view
+    std::map<std::string, FreshUntil> m_sentFreshness; // last value sent to the routing thread, by service
+    std::map<std::string, std::vector<Member>> m_sentRelays; // last value sent to the routing thread, by server
+    bool m_updateLost = false; // the queue was full; housekeeping() sends everything again
 };
 
 }
--- a/packages/control/Election.cpp
+++ b/packages/control/Election.cpp
@@ -13,9 +13,9 @@
     constexpr Millis campaignCheckInterval { 500 };
     constexpr Millis maxCampaignJitter { 50 };
     constexpr int64_t keepalivesPerLease = 3;
-    constexpr Millis stepDownPause { 3'000 }; // long enough for another host to be elected and to take over
+    constexpr Millis stepDownPause { 3'000 }; // enough for another host to be elected and take over
 
-    // Built outside the coroutines: g++ 12 mishandles lists of temporaries inside one.
+    // Built outside the coroutines, because g++ 12 miscompiles initializer lists of temporaries inside coroutines.
     std::vector<Compare> noLeaderExists() { return { { leaderKey(), 0 } }; }
 
     std::vector<WriteOperation> leaderWrite(const std::string& value, int64_t lease)
@@ -54,7 +54,7 @@
 
 asio::awaitable<bool> Election::campaign()
 {
-    // Spread, so that not all hosts stand at the same moment.
+    // The delay keeps hosts from campaigning all at the same time.
     Millis delay = randomBelow(maxCampaignJitter);
     if (m_options.campaignDelay)
         delay = m_options.campaignDelay();
@@ -75,7 +75,8 @@
     if (reply.status == StoreStatus::Ok && reply.succeeded) {
         m_modRevision = reply.revision;
     } else if (reply.status == StoreStatus::Unavailable) {
-        // The answer was lost, perhaps after the write took effect: the nonce tells.
+        // The answer was lost, and the write may have taken effect. If the stored value has this campaign's nonce, it
+        // did.
         const RangeReply found = co_await m_store.range(leaderKey(), false, m_options.callTimeout);
         const bool wonByThisHost = !found.values.empty()
             && found.values.front().value == encodeLeader({ m_options.host, m_nonce, m_options.address });
@@ -100,7 +101,7 @@
     while (m_modRevision) {
         co_await sleepFor(interval);
         if (!m_modRevision)
-            break; // given back meanwhile
+            break; // gave up the leadership meanwhile
         const Instant askedAt = m_clock.now();
         m_writes.add();
         const LeaseReply kept = co_await m_store.keepLease(m_leaseId, interval * 2);
@@ -115,7 +116,7 @@
         const bool replaced = !m_view.leader().host.empty() && m_view.leader().modRevision > m_modRevision;
         const bool vacated = m_view.leader().host.empty() && m_view.leader().modRevision > m_modRevision;
         if (!lapsed && !replaced && !vacated)
-            continue; // the store is silent: the office may still be this host's when it is back
+            continue; // no answer: this host may still be the leader when the store is back
         logChange(LogLevel::Warning, "assigner-deposed", { { "term", m_modRevision } });
         m_modRevision = 0;
         notifyChange();
--- a/packages/control/Election.h
+++ b/packages/control/Election.h
@@ -1,7 +1,9 @@
-// Election of the one assigner: a key in the store under a lease.
+// Leader election through a key in the store that is attached to a lease. The leader is the assigner or the
+// coordinator.
 //
-// Each write of the assigner compares this key's revision, so that the late write of a former assigner, paused
-// past its lease, fails in the store itself. mayAct() is only a courtesy that saves such writes.
+// Each write of the leader compares the revision of this key (a fencing token), so a late write of a previous leader
+// that was paused past its lease fails in the store. mayAct() isn't needed for this; it only avoids writes that would
+// fail.
 #pragma once
 
 #include "base/Metrics.h"
@@ -16,11 +18,11 @@
 
 struct ElectionOptions {
     std::string host; // this host's name
-    std::string address; // "IP:port" under which the others find the leader; may be empty
+    std::string address; // "IP:port" at which other hosts reach the leader; may be empty
     Millis lease { 2'000 };
-    Millis callTimeout { 1'500 }; // of one call to the store
-    std::function<void()> onLeadershipChange; // the office was won or lost
-    std::function<Millis()> campaignDelay; // before this host stands for a vacant office; none: a few ms at random
+    Millis callTimeout { 1'500 }; // for one call to the store
+    std::function<void()> onLeadershipChange; // leadership won or lost; not called after stepDown() or resign()
+    std::function<Millis()> campaignDelay; // wait before campaigning; if empty, up to 50 ms at random
 };
 
 class Election {
@@ -28,14 +30,15 @@
     Election(boost::asio::any_io_executor, const Clock&, ElectionOptions, Store&, const LeaderSource&, Metrics&);
     boost::asio::awaitable<void> run(); // forever
     void onLeaderChange() { m_changed.notifyAll(); }
-    void stopCampaigning() { m_mayCampaign = false; } // this host is leaving
-    // Gives the office up. False: the store is away. Nobody else can be elected then, and this host is still in office.
+    void stopCampaigning() { m_mayCampaign = false; } // for a host that is leaving
+    // Gives up the leadership for good. Returns false if the store is unavailable; then no other host can be elected,
+    // and this host is still the leader.
     boost::asio::awaitable<bool> resign();
 
-    bool isLeader() const { return m_modRevision; } // as far as this host knows; the store may say otherwise
+    bool isLeader() const { return m_modRevision; } // as far as this host knows; the store may have another leader
     bool mayAct() const;
-    Instant lastConfirmed() const { return m_confirmedAt; } // the store said so to a question asked then
-    void stepDown(); // gives the office back: another is at work, or this host can't do it
+    Instant lastConfirmed() const { return m_confirmedAt; } // send time of the request last confirmed by the store
+    void stepDown(); // gives up the leadership for now: another leader is active, or this host can't act as one
     Compare fence() const; // condition for every write of the assigner
     int64_t term() const { return m_modRevision; } // changes with each election won
 
@@ -53,10 +56,10 @@
     Signal m_changed;
     std::string m_nonce;
     int64_t m_leaseId = 0;
-    int64_t m_modRevision = 0; // of the leader key, as this host wrote it; 0: not leader
+    int64_t m_modRevision = 0; // of the leader key as written by this host; 0: not the leader
     Instant m_validUntil {};
     Instant m_confirmedAt {};
-    Instant m_campaignNotBefore {}; // after the office was given back the others go first
+    Instant m_campaignNotBefore {}; // after stepDown(), so that other hosts can be elected first
     bool m_mayCampaign = true;
     bool m_steppedDown = false;
 };
--- a/packages/control/LoadAggregator.cpp
+++ b/packages/control/LoadAggregator.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-    constexpr Millis reportLifetime { 5'000 }; // a host silent for longer is left out
+    constexpr Millis reportLifetime { 5'000 }; // older reports are dropped
     constexpr Millis averageInterval { 1'000 };
-    constexpr double newestSampleWeight = 0.1; // about the last twenty averages
-    constexpr double minHotKeyLoad = 10; // ms of work a second: a hundredth of a slot
-    constexpr double minHotKeyShare = 0.002; // of the service's load: heavier keys get a slice of their own
+    constexpr double newestSampleWeight = 0.1; // the average covers about the last twenty samples
+    constexpr double minHotKeyLoad = 10; // ms of work per second: a hundredth of a slot
+    constexpr double minHotKeyShare = 0.002; // of the service's load; keys above it get a slice of their own
 
 }
 
@@ -29,18 +29,18 @@
     bool anyReport = false;
     for (const auto& [host, entry] : loads.hosts) {
         if (entry.first.tableVersion != table.version)
-            continue; // its slices are others; the next report fits again
+            continue; // its slice indices are of another version; the host's next report will match
         anyReport = true;
         for (const auto& [slice, load] : entry.first.slices) {
             if (slice < sum.size())
                 sum[slice] += load;
         }
     }
-    // The first ones weigh alike, so that a young average is not ruled by its first report.
+    // The first samples have equal weights, so that the first one doesn't dominate the average.
     if (isDue && anyReport)
         ++loads.samples;
     const double weight = std::max(newestSampleWeight, 1.0 / static_cast<double>(std::max<uint64_t>(1, loads.samples)));
-    // What was known of slices that have been joined since goes to those that hold their points now.
+    // The load of slices that have been merged since goes to the slices that now contain their begin points.
     std::map<uint64_t, double> remapped;
     for (const auto& [begin, load] : loads.average)
         remapped[table.slices[table.indexOf(begin)].begin] += load;
--- a/packages/control/PeerMesh.cpp
+++ b/packages/control/PeerMesh.cpp
@@ -25,8 +25,8 @@
     , m_beats(metrics.counter("peers_beats"))
     , m_beatsMissed(metrics.counter("peers_beats_missed"))
     , m_events(events)
-    // Not from 0: a peer must not take this incarnation's first states for ones it already holds. Short, since it
-    // travels with every beat.
+    // Starts at random, so that a peer doesn't take the first states of this incarnation for states of the previous one
+    // that it already has. The range is small because every heartbeat contains the number.
     , m_sequence(1 + static_cast<int64_t>(randomNumber() % firstSequenceRange))
     , m_startedAt(clock.now())
     , m_stateChanged(executor)
@@ -69,7 +69,7 @@
         const bool same = found != wanted.end() && found->second.address == peer.member.address
             && found->second.peerPort == peer.member.peerPort;
         if (!same)
-            peer.link.reset(); // its loop sees that and ends
+            peer.link.reset(); // ends its beatLoop()
     }
     for (const auto& [name, member] : wanted) {
         Peer& peer = m_peers[name];
@@ -122,7 +122,8 @@
             m_beats.add();
             peer.answeredAt = m_clock.now();
             recordBeat(peer, *answer);
-            // Without a state the answer speaks of the one that this host holds; of another one it says nothing.
+            // An answer without a state confirms the state that this host already has, if the sequence is the same.
+            // With another sequence it can't be used.
             if (answer->sequence == peer.sequence) {
                 m_freshness.recordPeerAnswer(name, askedAt, peer.state.known, peer.state.report.counts);
                 refreshOwnState();
@@ -136,7 +137,7 @@
         if (sentSequence == m_sequence)
             co_await m_stateChanged.wait(m_settings.timing.beat);
         else
-            co_await sleepFor(Millis(5)); // changed meanwhile: tell at once, but in batches
+            co_await sleepFor(Millis(5)); // the state changed meanwhile: send it soon, several changes at a time
     }
 }
 
@@ -170,7 +171,7 @@
     const auto found = m_peers.find(peer);
     if (found == m_peers.end() || !found->second.link)
         co_return false;
-    // A link of its own: the beat's connection takes one question at a time.
+    // Uses a separate connection, because the one for heartbeats takes only one request at a time.
     PeerLink link(m_executor, found->second.member.address, found->second.member.peerPort, m_bytesSent);
     co_return co_await link.load(report, m_settings.timing.lease);
 }
--- a/packages/control/PeerMesh.h
+++ b/packages/control/PeerMesh.h
@@ -1,6 +1,8 @@
-// Beats between the entry hosts: asks each peer, answers them, and keeps the routing lease from the answers.
+// Heartbeats between the entry hosts: sends them to peers, answers those of peers, and renews the routing lease with
+// the answers.
 //
-// A state travels only when it changed since the other side last got it; otherwise a beat is a few bytes.
+// A heartbeat contains the sender's state only if the receiver doesn't have its newest version; otherwise it is a few
+// bytes long.
 #pragma once
 
 #include "base/Metrics.h"
@@ -19,12 +21,12 @@
 
 namespace cumindale {
 
-// What the mesh tells its owner. Called on the control thread.
+// Notifications from PeerMesh, called on the control thread.
 class MeshEvents {
 public:
     virtual ~MeshEvents() = default;
-    virtual void onViewChange(const ViewChange&) = 0; // a peer had something newer
-    virtual void onFreshness() = 0; // the routing lease may have moved
+    virtual void onViewChange(const ViewChange&) = 0; // newer data arrived from a peer
+    virtual void onFreshness() = 0; // the routing lease may have been extended
     virtual void onPeerLoad(const wire::LoadReport&) = 0;
 };
 
@@ -33,15 +35,15 @@
     PeerMesh(boost::asio::any_io_executor, const Clock&, const Settings&, ClusterView&, RoutingLease&, Metrics&,
         MeshEvents&);
 
-    void setOwnReport(HostReport); // its dispatching thread's snapshot
-    void setPeers(const std::map<std::string, Member>&); // whom to ask, without this host
-    void refreshOwnState(); // after the view or freshness changed
+    void setOwnReport(HostReport); // snapshot of this host's dispatching thread
+    void setPeers(const std::map<std::string, Member>&); // peers to send heartbeats to; must not contain this host
+    void refreshOwnState(); // to be called after the view or the routing lease changed
     boost::asio::awaitable<bool> sendLoad(std::string peer, wire::LoadReport);
 
     // --- For the assigner
-    HostReports reports(Instant now) const; // all hosts ever heard, this one included; ages brought up to now
-    bool heardSince(std::string_view peer, Instant) const; // answered or asked since
-    bool answeredSince(std::string_view peer, Instant) const; // answered this host since
+    HostReports reports(Instant now) const; // of this host and all hosts ever heard from; ages as of `now`
+    bool heardSince(std::string_view peer, Instant) const; // a heartbeat or an answer has arrived from the peer since
+    bool answeredSince(std::string_view peer, Instant) const; // the peer has answered a heartbeat of this host since
 
     // --- From peers
     wire::Beat onBeat(const wire::Beat&) override;
@@ -53,13 +55,13 @@
 private:
     struct Peer {
         Member member;
-        std::shared_ptr<PeerLink> link; // null: not asked by this host
-        int64_t sequence = 0; // of the state held
-        int64_t ackedSequence = 0; // sequence of this host's state that the peer holds
+        std::shared_ptr<PeerLink> link; // null: this host doesn't send heartbeats to the peer
+        int64_t sequence = 0; // of `state`
+        int64_t ackedSequence = 0; // of the newest state of this host that the peer has; 0: none
         PeerState state;
         Instant stateAt {};
         Instant heardAt {};
-        Instant answeredAt {}; // a question of this host
+        Instant answeredAt {}; // last answer to a heartbeat of this host
         bool heard = false;
     };
 
@@ -81,7 +83,7 @@
     PeerState m_own;
     int64_t m_sequence;
     Instant m_startedAt;
-    Signal m_stateChanged; // own state changed: beat now
+    Signal m_stateChanged; // this host's state changed: send heartbeats at once
 };
 
 }
--- a/packages/control/StatusBoard.h
+++ b/packages/control/StatusBoard.h
@@ -1,4 +1,5 @@
-// What the control duty shows to the operators' duty: the newest snapshot, replaced as a whole.
+// The newest status snapshot of the control thread, for the operators' HTTP interface. Each snapshot replaces the
+// previous one as a whole.
 #pragma once
 
 #include "control/ClusterView.h"
@@ -20,7 +21,7 @@
     std::shared_ptr<const std::vector<ResourceEntry>> entries;
     std::shared_ptr<const Roster> roster;
     std::map<std::string, std::shared_ptr<const SliceTable>, std::less<>> tables;
-    std::map<std::string, int64_t> freshForMillis; // by service; negative: not fresh
+    std::map<std::string, int64_t> freshForMillis; // remaining routing lease, by service; negative: it has ended
     HostReports reports; // by host
 };
 
--- a/packages/control/StoreFollower.cpp
+++ b/packages/control/StoreFollower.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-    constexpr Millis callTimeout { 3000 }; // a slow store still answers
+    constexpr Millis callTimeout { 3000 }; // long, so that a slow store counts as available
     constexpr Millis minBackoff { 200 };
     constexpr Millis maxBackoff { 2000 };
 
@@ -47,9 +47,10 @@
         m_failures.add();
         co_return false;
     }
-    // Asked after it had shown a higher revision: it was set back, and what it says now would undo accepted
-    // configuration. It is refused until it has caught up, and then still until everything that was accepted is
-    // there again: a resource that the set-back lost must not be taken for one that an operator deleted.
+    // A revision lower than one seen before the request means that the store was restored from an older state, which
+    // would undo accepted configuration. Its answers are refused until the revision has caught up and all accepted
+    // resources are present again. Otherwise a resource lost in the restore would be taken for one that an operator
+    // has deleted.
     const bool wentBack = reply.revision < seen || (m_storeWentBack && !m_view.coveredBy(reply));
     if (wentBack != m_storeWentBack)
         logChange(wentBack ? LogLevel::Error : LogLevel::Info, wentBack ? "store-went-back" : "store-caught-up",
@@ -68,7 +69,7 @@
 bool StoreFollower::onEvents(int64_t revision, const std::vector<WatchEvent>& events)
 {
     if (revision < m_view.revision() && !events.empty())
-        return false; // not the store that this host knew: read it first
+        return false; // the store went back to an older revision: end the watch and read everything
     const ViewChange change = m_view.applyEvents(revision, events);
     if (change.any())
         m_events.onViewChange(change);
@@ -89,7 +90,7 @@
         const Instant startedAt = m_clock.now();
         co_await m_store.watch(std::string(storePrefix), m_view.revision() + 1, m_settings.timing.reread,
             [this](int64_t revision, const std::vector<WatchEvent>& events) { return onEvents(revision, events); });
-        // A watch that ends at once must not turn this into a busy loop of reads.
+        // Keeps a watch that ends at once from causing a busy loop of reads.
         if (m_clock.now() - startedAt < minBackoff)
             co_await sleepFor(jittered(backoff));
     }
--- a/packages/control/StoreFollower.h
+++ b/packages/control/StoreFollower.h
@@ -1,5 +1,5 @@
-// Keeps the view up to date from the store: reads everything, then watches; a watch that is silent for the
-// re-read interval is dropped and everything is read again, since a watch can go silent for good.
+// Keeps the view up to date with the store: reads everything, then watches for changes. A watch without any message for
+// the re-read interval is closed and everything is read again, because a watch can stop delivering without an error.
 #pragma once
 
 #include "base/Metrics.h"
@@ -14,14 +14,14 @@
 public:
     virtual ~FollowerEvents() = default;
     virtual void onViewChange(const ViewChange&) = 0;
-    virtual void onStoreRead() = 0; // the store's word may have renewed the routing lease
+    virtual void onStoreRead() = 0; // a read succeeded; it may have renewed the routing lease
 };
 
 class StoreFollower {
 public:
     StoreFollower(const Clock&, const Settings&, Store&, ClusterView&, RoutingLease&, Metrics&, FollowerEvents&);
     boost::asio::awaitable<void> run(); // forever
-    boost::asio::awaitable<bool> readAll(); // false: no answer, or one that must not be believed
+    boost::asio::awaitable<bool> readAll(); // false: no answer, or the store went back to an older state
     bool storeAnswers() const { return m_storeAnswers; }
     bool storeWentBack() const { return m_storeWentBack; }
 
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,4 +1,5 @@
-// Configuration: accepted means committed, lost answers are resolved, races are told, nothing goes back.
+// Tests of configuration: accepted writes are committed, lost answers are resolved, concurrent writes are reported as
+// conflicts, and no host goes back to an older configuration.
 #include "control/ClusterView.h"
 #include "control/StoreFollower.h"
 #include "fake_store.h"
@@ -70,8 +71,8 @@
 
 TEST_CASE("a write whose answer was lost is found by its operation id and not written twice")
 {
-    // An operator would see a conflict with their own change: the write took effect, its answer was lost, and
-    // the second try compared with the revision before it.
+    // Guards against reporting a conflict with the operator's own change: the write takes effect but its answer is
+    // lost, and the retry compares with the revision before the write.
     Operators operators;
     operators.store.txnFaults = { Fault::AnswerLost };
     const WriteResult result = operators.write(order(service("a"), "op-1", 0));
@@ -79,7 +80,7 @@
     CHECK(operators.store.writes == 1);
 }
 
-TEST_CASE("it is found even if somebody has overwritten it since")
+TEST_CASE("a committed write is found by its operation id even if another write has replaced it")
 {
     Operators operators;
     operators.write(order(service("a", 1000), "op-1"));
@@ -89,7 +90,7 @@
     CHECK(operators.store.values[resourceKey("Service", "a")].value.find("2000") != std::string::npos);
 }
 
-TEST_CASE("of two operators racing one gets a conflict with the current revision")
+TEST_CASE("of two concurrent writes the second gets a conflict with the current revision")
 {
     Operators operators;
     const int64_t first = operators.write(order(service("a"), "op-1", 0)).revision;
@@ -99,10 +100,10 @@
     CHECK(loser.revision == second);
 }
 
-TEST_CASE("a reference is checked against what is committed, not against what was read before")
+TEST_CASE("a reference is checked against the committed configuration, not against an earlier read")
 {
-    // Operators would see a server that refers to no service: one deleted the service while the other's check
-    // of it had just passed.
+    // Guards against a server that refers to a missing service: one operator deletes the service just after the check
+    // of another operator's server has found it.
     Operators operators;
     operators.write(order(service("a"), "op-1"));
     ResourceDocument server;
@@ -118,7 +119,7 @@
     CHECK(result.fault.field == "BackendServer/s spec.service");
 }
 
-TEST_CASE("a silent store is told apart: surely not written, or not known")
+TEST_CASE("without an answer of the store a write is reported as not written or as unknown")
 {
     Operators operators;
     operators.store.rangeFaults = std::deque<Fault>(100, Fault::Down);
@@ -129,7 +130,7 @@
     CHECK(operators.write(order(service("a"), "op-2"), Millis(250)).outcome == WriteOutcome::Unknown);
 }
 
-TEST_CASE("a host's view never takes a step back, whatever order it hears things in")
+TEST_CASE("a host's view never goes back to an older state, whatever the order of updates")
 {
     ClusterView view;
     const std::string key = resourceKey("Service", "a");
@@ -151,7 +152,7 @@
     CHECK(view.table("a")->version == 5);
 }
 
-TEST_CASE("what one host knows reaches another through peers, erasures too, and then both are alike")
+TEST_CASE("resources and their deletions reach another host through peers, and both views are then equal")
 {
     ClusterView first;
     first.applyEvents(7, { event(resourceKey("Service", "a"), storedText({ service("a"), "op-1" }), 7) });
@@ -163,10 +164,10 @@
     CHECK_FALSE(second.applyPeerResources(first.resourcesForPeers()).any());
 }
 
-TEST_CASE("a store that went back in time is refused and reported, until it has caught up")
+TEST_CASE("a store that went back to an older state is refused and reported until it has caught up")
 {
-    // Operators would see an accepted change undone everywhere: the platform restored the store from a backup,
-    // and the hosts read it as if it were the newest.
+    // Guards against an accepted change being undone on all hosts: the platform restores the store from a backup, and
+    // the hosts read it as the newest state.
     const SystemClock clock;
     const Settings settings;
     FakeStore store;
@@ -187,7 +188,7 @@
     CHECK(view.resources()->services.at("a").longestWork == Millis(2000));
     store.revision = 60;
     const KeyValue other = store.values.extract(resourceKey("Service", "b")).mapped();
-    CHECK_FALSE(runNow(follower.readAll())); // caught up, but an accepted service is not there again
+    CHECK_FALSE(runNow(follower.readAll())); // the revision has caught up, but an accepted service is still missing
     CHECK(view.resources()->services.count("b") == 1);
     store.put(other.key, other.value);
     store.put(resourceKey("Service", "a"), storedText({ service("a", 3000), "op-3" }));
--- a/tests/election_test.cpp
+++ b/tests/election_test.cpp
@@ -1,4 +1,4 @@
-// Standing for the coordinator's office, holding it and giving it back.
+// Tests of leader election: when a host campaigns and becomes the leader.
 #include "control/Election.h"
 #include "fake_store.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A store that was read and shows no leader.
+// The view of a store that has been read and has no leader.
 class NoLeaderSource final : public LeaderSource {
 public:
     int64_t revision() const override { return 1; }
@@ -48,10 +48,10 @@
 
 }
 
-// What operators saw: every host of a deployment with hashed keys ended by itself a moment after its start. A host that
-// is given no delay before it stands for the office called the delay that wasn't there: the compiler takes the wrong
-// branch of a condition inside an awaited call.
-TEST_CASE("a host without a delay of its own stands for a vacant office and wins it")
+// Guards against a crash just after the start of every host of a deployment with hashed keys. The compiler takes the
+// wrong branch of a conditional expression inside a co_await, so a host without a campaignDelay called the empty
+// function.
+TEST_CASE("a host without a campaign delay becomes the leader if there is none")
 {
     ElectionFixture candidate;
     candidate.context.run_for(Millis(300));
@@ -59,7 +59,7 @@
     CHECK(candidate.election.mayAct());
 }
 
-TEST_CASE("a host with a delay waits for it before it stands")
+TEST_CASE("a host with a campaign delay waits for it before it campaigns")
 {
     ElectionFixture candidate([] { return Millis(200); });
     candidate.context.run_for(Millis(100));
--- a/tests/fake_store.h
+++ b/tests/fake_store.h
@@ -1,4 +1,4 @@
-// The store as a map in memory, for one thread. Faults are scripted call by call.
+// An in-memory store for single-threaded tests. Faults are set for each call.
 #pragma once
 
 #include "store/Store.h"
@@ -10,11 +10,11 @@
 
 class FakeStore final : public Store {
 public:
-    enum class Fault { None, Down, AnswerLost }; // AnswerLost: the write took effect
+    enum class Fault { None, Down, AnswerLost }; // AnswerLost: the write takes effect, but the caller gets no answer
 
-    std::deque<Fault> txnFaults; // for the next transactions; then None
-    std::deque<Fault> rangeFaults;
-    std::function<void()> beforeTxn; // somebody else acts between reading and writing
+    std::deque<Fault> txnFaults; // for the next transactions in order; None when empty
+    std::deque<Fault> rangeFaults; // for the next reads in order; None when empty
+    std::function<void()> beforeTxn; // called once before the next transaction, to simulate a concurrent write
     std::map<std::string, KeyValue> values;
     int64_t revision = 1;
     size_t writes = 0;
