--- a/packages/control/Control.h
+++ b/packages/control/Control.h
@@ -1,5 +1,6 @@
-// The control duty: follows the store, beats with peers, stands for election, runs the assigner, and tells the
-// routing duty what it may do. One thread; everything here is a coroutine on it.
+// The control thread of a host: follows the store, exchanges heartbeats with peers, takes part in leader election, runs
+// the assigner, and sends the routing thread its configuration and lease. All functions run as coroutines on this one
+// thread.
 #pragma once
 
 #include "control/AssignerDriver.h"
@@ -14,14 +15,14 @@
 
 class Control final : public MeshEvents, public FollowerEvents {
 public:
-    using UpdateSink = std::function<bool(RoutingUpdate)>; // false: the ring is full
+    using UpdateSink = std::function<bool(RoutingUpdate)>; // false: the queue to the routing thread is full
 
     Control(boost::asio::any_io_executor, const Clock&, const Settings&, Store&, HostList&, Metrics&, StatusBoard&,
         UpdateSink);
 
     void start();
     void onRoutingReport(RoutingReport);
-    boost::asio::awaitable<void> leave(); // gives up the office, if it holds it
+    boost::asio::awaitable<void> leave(); // gives up the leadership if this host is the leader
 
 private:
     void onViewChange(const ViewChange&) override;
@@ -31,10 +32,10 @@
 
     void publishFreshness();
     void publishRelays();
-    void publishAll();
-    void push(RoutingUpdate);
+    void publishEverything();
+    void sendUpdate(RoutingUpdate);
     void choosePeers();
-    void showStatus();
+    void publishStatus();
     boost::asio::awaitable<void> housekeeping();
     boost::asio::awaitable<void> readStoreWhileStale();
     boost::asio::awaitable<void> sendLoads(std::map<std::string, ServiceLoad>);
@@ -43,7 +44,7 @@
     const Clock& m_clock;
     const Settings& m_settings;
     Metrics& m_metrics;
-    StatusBoard& m_board;
+    StatusBoard& m_statusBoard;
     UpdateSink m_sink;
     ClusterView m_view;
     RoutingLease m_freshness;
@@ -51,12 +52,12 @@
     PeerServer m_peerServer;
     StoreFollower m_follower;
     Election m_election;
-    LoadBook m_loads;
+    LoadAggregator m_loadAggregator;
     AssignerDriver m_assigner;
-    bool m_configured = false; // the routing duty was told the whole view once
-    std::map<std::string, LeaseValidity> m_toldFresh; // newest that the routing duty was told, by service
-    std::map<std::string, std::vector<Member>> m_toldRelays;
-    bool m_pushFailed = false; // the ring was full: everything is sent again
+    bool m_configurationSent = false; // whether the routing thread has been sent the whole view
+    std::map<std::string, LeaseValidity> m_sentFreshness; // last value sent to the routing thread, by service
+    std::map<std::string, std::vector<Member>> m_sentRelays; // last value sent to the routing thread, by server
+    bool m_updateLost = false; // the queue was full; housekeeping() sends everything again
 };
 
 }
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -72,7 +72,7 @@
 
 // The view may know of a newer coordinator before the election hears of it from the store. This host reports to the
 // newer coordinator from then on, and must no longer act as one itself.
-bool Coordinator::isLeader() const { return m_election.holds() && m_view.leader().modRevision <= m_election.term(); }
+bool Coordinator::isLeader() const { return m_election.isLeader() && m_view.leader().modRevision <= m_election.term(); }
 
 bool Coordinator::readyForTerm() const { return m_view.revision() >= m_election.term() && m_view.rules(); }
 
@@ -133,7 +133,7 @@
         logEvents(*plan);
         if (plan->deposed()) {
             logChange(LogLevel::Warning, "coordinator-refused", { { "term", m_term }, { "service", service } });
-            m_election.abandon();
+            m_election.stepDown();
             endTerm();
             return;
         }
@@ -145,7 +145,7 @@
         m_mostServersAnsweredAt = now;
     else if (now - m_mostServersAnsweredAt > isolationTimeout) {
         logChange(LogLevel::Warning, "coordinator-isolated", { { "term", m_term } });
-        m_election.abandon();
+        m_election.stepDown();
         endTerm();
         return;
     }
--- a/tests/fake_store.h
+++ b/tests/fake_store.h
@@ -1,4 +1,4 @@
-// The store as a map in memory, for one thread. Faults are scripted call by call.
+// An in-memory store for single-threaded tests. Faults are set for each call.
 #pragma once
 
 #include "store/Store.h"
@@ -10,11 +10,11 @@
 
 class FakeStore final : public Store {
 public:
-    enum class Fault { None, Down, AnswerLost }; // AnswerLost: the write took effect
+    enum class Fault { None, Down, AnswerLost }; // AnswerLost: the write takes effect, but the caller gets no answer
 
-    std::deque<Fault> txnFaults; // for the next transactions; then None
-    std::deque<Fault> rangeFaults;
-    std::function<void()> beforeTxn; // somebody else acts between reading and writing
+    std::deque<Fault> txnFaults; // for the next transactions in order; None when empty
+    std::deque<Fault> rangeFaults; // for the next reads in order; None when empty
+    std::function<void()> beforeTxn; // called once before the next transaction, to simulate a concurrent write
     std::map<std::string, KeyValue> values;
     int64_t revision = 1;
     size_t writes = 0;
@@ -29,7 +29,7 @@
 
     boost::asio::awaitable<RangeReply> range(std::string key, bool prefix, Millis) override
     {
-        if (take(rangeFaults) != Fault::None)
+        if (nextFault(rangeFaults) != Fault::None)
             co_return RangeReply {};
         RangeReply reply;
         reply.status = StoreStatus::Ok;
@@ -46,7 +46,7 @@
     {
         if (beforeTxn)
             std::exchange(beforeTxn, nullptr)();
-        const Fault fault = take(txnFaults);
+        const Fault fault = nextFault(txnFaults);
         TxnReply reply;
         if (fault == Fault::Down)
             co_return reply;
@@ -80,12 +80,12 @@
     }
 
 private:
-    static Fault take(std::deque<Fault>& script)
+    static Fault nextFault(std::deque<Fault>& faults)
     {
-        if (script.empty())
+        if (faults.empty())
             return Fault::None;
-        const Fault fault = script.front();
-        script.pop_front();
+        const Fault fault = faults.front();
+        faults.pop_front();
         return fault;
     }
 
