--- a/apps/cumindaled/GatewayHost.cpp
+++ b/apps/cumindaled/GatewayHost.cpp
@@ -129,7 +129,7 @@
 
         void drainToControl()
         {
-            m_toControl.drain([this](GatewayReport report) { m_controlDuty.onUse(std::move(report)); });
+            m_toControl.drain([this](GatewayReport report) { m_controlDuty.onRoutingReport(std::move(report)); });
         }
 
         void applyBounds(const CallerBounds& bounds)
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -209,7 +209,7 @@
     std::vector<WatchEvent> others;
     for (const auto& event : events) {
         // Tables and the office are told in other ways.
-        if (m_view.isOthers(event.value.key))
+        if (m_view.isExternalKey(event.value.key))
             others.push_back(event);
     }
     if (!others.empty())
@@ -455,7 +455,7 @@
         revision = present ? found.values.front().modRevision : 0;
         const auto stored = present ? decodeGrantTable(found.values.front().value) : std::nullopt;
         if (stored)
-            m_view.noteStored(*stored, revision);
+            m_view.recordStored(*stored, revision);
     }
     co_return all ? revision : 0;
 }
@@ -475,7 +475,7 @@
         co_return;
     const Instant now = m_clock.now();
     for (const auto& table : writing.tables) {
-        m_view.noteWritten(table, revision);
+        m_view.recordWritten(table, revision);
         const auto plan = m_plans.find(table.service);
         if (plan != m_plans.end())
             plan->second->onWritten(table.edition.edition, now);
@@ -483,7 +483,7 @@
     if (writing.quarantine)
         m_quarantineWritten = writing.quarantineEdition;
     if (!writing.hosts.empty()) {
-        m_view.noteListed(writing.hosts, revision);
+        m_view.recordListed(writing.hosts, revision);
         m_office.setListedHosts(std::move(writing.hosts));
     }
     m_changed.notifyAll();
--- a/packages/gateway/GatewayControl.cpp
+++ b/packages/gateway/GatewayControl.cpp
@@ -16,17 +16,18 @@
 
 namespace {
 
-    constexpr Millis shortestReport { 100 };
-    constexpr Millis longestReport { 2'000 };
-    constexpr double earlyReport = 0.4; // of the time between two reports: the least before one that asks for permits
-    constexpr Millis storeSilentTooLong { 1'500 }; // at the coordinator: this host looks for itself
+    constexpr Millis minReportInterval { 100 };
+    constexpr Millis maxReportInterval { 2'000 };
+    constexpr double minReportIntervalFactor
+        = 0.4; // of the time between two reports: the least before one that asks for permits
+    constexpr Millis maxStoreSilence { 1'500 }; // at the coordinator: this host looks for itself
     constexpr Millis reportTimeout { 400 };
-    constexpr Millis connectionLostWithin { 100 }; // a report that fails sooner met a broken connection, not silence
+    constexpr Millis connectionErrorTime { 100 }; // a report that fails sooner met a broken connection, not silence
     constexpr double centi = 100;
 
     std::string textOf(const Endpoint& endpoint) { return endpoint.address + ":" + std::to_string(endpoint.port); }
 
-    int32_t inCenti(double value) { return static_cast<int32_t>(std::lround(value * centi)); }
+    int32_t toCenti(double value) { return static_cast<int32_t>(std::lround(value * centi)); }
 
     Millis leaseOf(const GatewaySettings& gateway) { return std::max(gateway.leaderLease, gateway.shortestLease); }
 
@@ -44,7 +45,7 @@
     }
 
     ElectionOptions electionOptions(
-        const Settings& settings, std::function<void()> whenChanged, std::function<Millis()> standDelay)
+        const Settings& settings, std::function<void()> whenChanged, std::function<Millis()> candidacyDelay)
     {
         ElectionOptions options;
         options.host = settings.host.name;
@@ -52,7 +53,7 @@
         options.lease = leaseOf(*settings.gateway);
         options.callTimeout = Millis(800); // of a store that answers slowly; a lost answer is asked for again
         options.whenChanged = std::move(whenChanged);
-        options.standDelay = std::move(standDelay);
+        options.standDelay = std::move(candidacyDelay);
         return options;
     }
 
@@ -61,7 +62,7 @@
 namespace {
 
     // Nothing: its value is left out, or can't be read.
-    std::optional<WatchEvent> eventIn(const wire::StoreItem& item)
+    std::optional<WatchEvent> decodeStoreItem(const wire::StoreItem& item)
     {
         if (item.leftOutBytes > 0)
             return std::nullopt;
@@ -86,7 +87,7 @@
     : m_executor(executor)
     , m_clock(clock)
     , m_settings(settings)
-    , m_sink(std::move(sink))
+    , m_updateSink(std::move(sink))
     , m_peerBytes(metrics.counter("peers_bytes_sent"))
     , m_reports(metrics.counter("reports_sent"))
     , m_reportsFailed(metrics.counter("reports_failed"))
@@ -101,12 +102,12 @@
           })
     , m_election(executor, clock,
           electionOptions(
-              settings, [this] { m_coordinator.wake(); }, [this] { return standDelay(); }),
+              settings, [this] { m_coordinator.wake(); }, [this] { return candidacyDelay(); }),
           store, m_view, metrics)
     , m_coordinator(executor, clock, adapter, coordinatorOptions(settings), store, m_view, m_election, metrics,
           [this](GrantTable table) { onViewChange(m_view.applyTable(std::move(table))); })
     , m_relay(executor, m_peerBytes)
-    , m_heldBack(executor)
+    , m_permitNeeded(executor)
     , m_server(
           makeCoordinationServer(executor, settings.host.peers.address, settings.host.peers.port, *this, m_peerBytes))
 {
@@ -122,24 +123,24 @@
 
 asio::awaitable<void> GatewayControl::leave(Instant until)
 {
-    constexpr Millis pause { 200 }; // between two questions to a store that may be back
+    constexpr Millis retryInterval { 200 }; // between two questions to a store that may be back
     for (;;) {
         const bool resigned = co_await m_election.resign();
         if (resigned || m_clock.now() >= until)
             co_return;
-        co_await sleepFor(pause);
+        co_await sleepFor(retryInterval);
     }
 }
 
 // --- To the routing duty
 
-void GatewayControl::push(GatewayUpdate update)
+void GatewayControl::pushUpdate(GatewayUpdate update)
 {
-    if (!m_sink(std::move(update)))
+    if (!m_updateSink(std::move(update)))
         m_pushFailed = true; // sent whole with the next report
 }
 
-void GatewayControl::pushAll()
+void GatewayControl::pushFullUpdate()
 {
     m_pushFailed = false;
     GatewayUpdate update;
@@ -149,7 +150,7 @@
     for (const auto& [service, table] : m_view.tables())
         update.tables.push_back(table);
     update.crashes = m_crashNews;
-    push(std::move(update));
+    pushUpdate(std::move(update));
 }
 
 void GatewayControl::onViewChange(const PlatformView::Change& change)
@@ -159,7 +160,7 @@
         m_link.reset();
     }
     GatewayUpdate update;
-    update.newCoordinator = change.leader && m_view.leader().modRevision != m_reportedTerm;
+    update.newCoordinator = change.leader && m_view.leader().modRevision != m_answeringTerm;
     if (change.rules)
         update.rules = m_view.rules();
     if (change.servers) {
@@ -169,9 +170,9 @@
     for (const auto& service : change.tables)
         update.tables.push_back(m_view.table(service));
     if (update.newCoordinator || change.rules || change.servers || !change.tables.empty())
-        push(std::move(update));
+        pushUpdate(std::move(update));
     if (change.quarantine)
-        tellCrashes();
+        publishCrashes();
     if (change.any())
         m_coordinator.wake();
 }
@@ -184,17 +185,18 @@
 {
     if (!news.forwardTo.empty())
         m_relay.pass(news);
-    takeNews(news);
+    handleNews(news);
 }
 
-void GatewayControl::takeNews(const wire::News& news)
+void GatewayControl::handleNews(const wire::News& news)
 {
     std::vector<WatchEvent> events;
     for (const auto& item : news.items) {
-        if (auto event = eventIn(item))
+        if (auto event = decodeStoreItem(item))
             events.push_back(std::move(*event));
         else
-            m_follower.expect(item.key, item.revision, deliveryTimeout(static_cast<size_t>(item.leftOutBytes)));
+            m_follower.readItemIfMissed(
+                item.key, item.revision, deliveryTimeout(static_cast<size_t>(item.leftOutBytes)));
     }
     if (!news.items.empty()) {
         (news.afterChange > m_view.lastChange() ? m_newsGaps : m_newsTaken).add();
@@ -203,10 +205,10 @@
     if (!news.crowded.empty()) {
         GatewayUpdate update;
         update.crowded = news.crowded;
-        push(std::move(update));
+        pushUpdate(std::move(update));
     }
     if (news.crashesEdition)
-        takeCrashes(news.crashesEdition, news.suspects, news.quarantined);
+        updateCrashes(news.crashesEdition, news.suspects, news.quarantined);
     for (const auto& text : news.tables) {
         const auto change = decodeGrantChange(text);
         const auto held = change ? m_view.table(change->service) : nullptr;
@@ -215,7 +217,7 @@
     }
 }
 
-void GatewayControl::takeTable(const std::string& text)
+void GatewayControl::handleTable(const std::string& text)
 {
     if (auto table = decodeGrantTable(text))
         onViewChange(m_view.applyTable(std::move(*table)));
@@ -225,31 +227,31 @@
 
 // The strong hosts first, then those that stand by, then the others: one that wins with little processor time serves
 // its callers worse, and each that stands costs the store two writes.
-Millis GatewayControl::standDelay() const
+Millis GatewayControl::candidacyDelay() const
 {
-    constexpr double strong = 0.5; // cores
-    constexpr Millis weakest { 150 };
-    constexpr Millis notStandingBy { 250 };
-    constexpr Millis spreadOfEquals { 60 };
-    const double weakness = std::clamp(1 - m_settings.gateway->strength / strong, 0.0, 1.0);
-    const Millis weak(std::llround(weakness * static_cast<double>(weakest.count())));
-    return weak + (m_standsBy ? Millis(0) : notStandingBy) + randomBelow(spreadOfEquals);
+    constexpr double fullStrength = 0.5; // cores
+    constexpr Millis maxWeaknessDelay { 150 };
+    constexpr Millis nonStandbyDelay { 250 };
+    constexpr Millis maxJitter { 60 };
+    const double weakness = std::clamp(1 - m_settings.gateway->strength / fullStrength, 0.0, 1.0);
+    const Millis weaknessDelay(std::llround(weakness * static_cast<double>(maxWeaknessDelay.count())));
+    return weaknessDelay + (m_isStandby ? Millis(0) : nonStandbyDelay) + randomBelow(maxJitter);
 }
 
-void GatewayControl::onUse(GatewayReport report)
+void GatewayControl::onRoutingReport(GatewayReport report)
 {
     // Means over the last report's time; uses of keys add up until they are sent.
-    m_use.servers = std::move(report.servers);
-    m_use.sharesSeen = report.sharesSeen;
-    m_use.leaving = std::move(report.leaving);
-    m_use.rates = std::move(report.rates);
-    m_isHeldBack |= report.heldBack;
+    m_pendingReport.servers = std::move(report.servers);
+    m_pendingReport.sharesSeen = report.sharesSeen;
+    m_pendingReport.leaving = std::move(report.leaving);
+    m_pendingReport.rates = std::move(report.rates);
+    m_awaitsPermit |= report.heldBack;
     if (report.heldBack)
-        m_heldBack.notifyAll();
-    m_use.crashes.insert(m_use.crashes.end(), report.crashes.begin(), report.crashes.end());
-    m_use.answered.insert(m_use.answered.end(), report.answered.begin(), report.answered.end());
+        m_permitNeeded.notifyAll();
+    m_pendingReport.crashes.insert(m_pendingReport.crashes.end(), report.crashes.begin(), report.crashes.end());
+    m_pendingReport.answered.insert(m_pendingReport.answered.end(), report.answered.begin(), report.answered.end());
     for (auto& [service, keys] : report.keys) {
-        auto& all = m_use.keys[service];
+        auto& all = m_pendingReport.keys[service];
         all.insert(all.end(), keys.begin(), keys.end());
     }
 }
@@ -261,13 +263,13 @@
     report.dataCentre = m_settings.host.dataCentre;
     report.address = textOf(m_settings.host.peers);
     report.lastChange = m_view.lastChange();
-    report.strengthCenti = inCenti(m_settings.gateway->strength);
+    report.strengthCenti = toCenti(m_settings.gateway->strength);
     for (const auto& [name, table] : m_view.tables()) {
         wire::ServiceUse service;
         service.serviceName = name;
         service.term = table->edition.term;
         service.edition = static_cast<int64_t>(table->edition.edition);
-        for (const auto& use : m_use.keys[name]) {
+        for (const auto& use : m_pendingReport.keys[name]) {
             wire::KeyUse key;
             key.key = static_cast<int32_t>(use.key);
             key.busyMicros = static_cast<int32_t>(std::min<uint64_t>(use.busyMicros, INT32_MAX));
@@ -275,42 +277,42 @@
         }
         report.services.push_back(std::move(service));
     }
-    for (const auto& [id, use] : m_use.servers) {
+    for (const auto& [id, use] : m_pendingReport.servers) {
         wire::ServerUse server;
         server.server = id;
-        server.inFlightCenti = inCenti(use.inFlight);
-        server.waitingCenti = inCenti(use.waiting);
+        server.inFlightCenti = toCenti(use.inFlight);
+        server.waitingCenti = toCenti(use.waiting);
         server.workMicros = static_cast<int32_t>(use.meanWork.count() * 1000);
-        server.present = static_cast<int32_t>(use.present + permitsUnseen(id));
+        server.present = static_cast<int32_t>(use.present + unseenPermits(id));
         server.waitingNow = static_cast<int32_t>(use.waitingNow);
         server.overdue = static_cast<int32_t>(use.overdue);
         report.servers.push_back(std::move(server));
     }
-    for (const auto& crash : m_use.crashes) {
-        wire::ServerCrash& told = report.crashes.emplace_back();
-        told.server = crash.server;
-        told.requests.assign(crash.requests.begin(), crash.requests.end());
+    for (const auto& crash : m_pendingReport.crashes) {
+        wire::ServerCrash& reportedCrash = report.crashes.emplace_back();
+        reportedCrash.server = crash.server;
+        reportedCrash.requests.assign(crash.requests.begin(), crash.requests.end());
     }
-    report.answered.assign(m_use.answered.begin(), m_use.answered.end());
-    report.released.assign(m_released.begin(), m_released.end());
-    report.leaving = m_use.leaving;
+    report.answered.assign(m_pendingReport.answered.begin(), m_pendingReport.answered.end());
+    report.released.assign(m_unreportedReleases.begin(), m_unreportedReleases.end());
+    report.leaving = m_pendingReport.leaving;
     report.ratesKnown = m_ratesEdition;
-    for (const auto& said : m_use.rates) {
+    for (const auto& knownRate : m_pendingReport.rates) {
         wire::ServerRate& rate = report.rates.emplace_back();
-        rate.server = said.server;
-        rate.limited = said.limit.has_value();
-        rate.perSecond = said.limit.value_or(0);
-        rate.ageMillis = static_cast<int32_t>((m_clock.now() - said.at).count());
+        rate.server = knownRate.server;
+        rate.limited = knownRate.limit.has_value();
+        rate.perSecond = knownRate.limit.value_or(0);
+        rate.ageMillis = static_cast<int32_t>((m_clock.now() - knownRate.at).count());
     }
-    m_use = {};
+    m_pendingReport = {};
     return report;
 }
 
 // The routing duty's figures may be older than the permits that it got since: what has started by these counts as being
 // there, or more would be given for the same place.
-unsigned GatewayControl::permitsUnseen(const std::string& server) const
+unsigned GatewayControl::unseenPermits(const std::string& server) const
 {
-    if (!m_shares || m_use.sharesSeen >= m_shares->number)
+    if (!m_shares || m_pendingReport.sharesSeen >= m_shares->number)
         return 0;
     const auto advice = m_shares->servers.find(server);
     return advice == m_shares->servers.end() ? 0 : advice->second.permits;
@@ -318,7 +320,7 @@
 
 namespace {
 
-    ServerAdvice adviceIn(const wire::ServerShare& share)
+    ServerAdvice decodeServerAdvice(const wire::ServerShare& share)
     {
         ServerAdvice advice;
         advice.kind = share.crowded ? ServerAdvice::Kind::Permits : ServerAdvice::Kind::Share;
@@ -330,21 +332,21 @@
 
 }
 
-void GatewayControl::takeAdvice(const wire::HostAdvice& advice, std::span<const std::string> named)
+void GatewayControl::handleAdvice(const wire::HostAdvice& advice, std::span<const std::string> reportedServers)
 {
-    takeNews(advice.missed);
-    m_view.noteComplete(advice.lastChange, advice.storeRevision);
+    handleNews(advice.missed);
+    m_view.confirmUnchanged(advice.lastChange, advice.storeRevision);
     for (const auto& text : advice.tables)
-        takeTable(text);
-    m_standsBy = advice.standsBy;
-    m_reportEvery = std::clamp(Millis(advice.reportMillis), shortestReport, longestReport);
+        handleTable(text);
+    m_isStandby = advice.standsBy;
+    m_reportInterval = std::clamp(Millis(advice.reportMillis), minReportInterval, maxReportInterval);
     const auto shares = std::make_shared<HostShares>();
     shares->number = m_shares ? m_shares->number + 1 : 1;
     shares->hosts = static_cast<size_t>(std::max(1, advice.hosts));
-    for (const auto& server : named)
+    for (const auto& server : reportedServers)
         shares->servers[server]; // those that the answer leaves out have room
     for (const auto& share : advice.shares)
-        shares->servers[share.server] = adviceIn(share);
+        shares->servers[share.server] = decodeServerAdvice(share);
     if (advice.ratesEdition != m_ratesEdition) {
         auto limits = std::make_shared<RateLimits>();
         for (const auto& rate : advice.rates)
@@ -354,16 +356,16 @@
     }
     shares->limits = m_limits;
     m_shares = shares;
-    m_released.clear();
+    m_unreportedReleases.clear();
     GatewayUpdate update;
     update.shares = shares;
-    update.newCoordinator = std::exchange(m_reportedTerm, advice.term) != advice.term;
-    push(std::move(update));
-    takeCrashes(advice.crashesEdition, advice.suspects, advice.quarantined);
+    update.newCoordinator = std::exchange(m_answeringTerm, advice.term) != advice.term;
+    pushUpdate(std::move(update));
+    updateCrashes(advice.crashesEdition, advice.suspects, advice.quarantined);
 }
 
 // Messages and answers to reports may overtake each other.
-void GatewayControl::takeCrashes(
+void GatewayControl::updateCrashes(
     int64_t edition, std::span<const int64_t> suspects, std::span<const int64_t> quarantined)
 {
     if (edition < m_crashesEdition)
@@ -371,14 +373,14 @@
     m_crashesEdition = edition;
     m_suspects = { suspects.begin(), suspects.end() };
     m_quarantined = { quarantined.begin(), quarantined.end() };
-    tellCrashes();
+    publishCrashes();
 }
 
 // A host that has no answer of a coordinator yet goes by the store.
-void GatewayControl::tellCrashes()
+void GatewayControl::publishCrashes()
 {
     CrashNews news { m_suspects, m_quarantined };
-    if (!m_reportedTerm) {
+    if (!m_answeringTerm) {
         for (const auto& request : m_view.quarantine())
             news.quarantined.insert(request.request);
     }
@@ -387,13 +389,13 @@
     m_crashNews = std::make_shared<const CrashNews>(std::move(news));
     GatewayUpdate update;
     update.crashes = m_crashNews;
-    push(std::move(update));
+    pushUpdate(std::move(update));
 }
 
 void GatewayControl::releaseFromQuarantine(Fingerprint request)
 {
     logChange(LogLevel::Info, "quarantine-release-asked", { { "fingerprint", fingerprintText(request) } });
-    m_released.push_back(request);
+    m_unreportedReleases.push_back(request);
 }
 
 std::string GatewayControl::quarantineText() const
@@ -431,11 +433,11 @@
     const LeaderView leader = m_view.leader(); // a copy: it may change while the report is under way
     std::optional<wire::HostAdvice> advice;
     wire::HostReport report = makeReport();
-    std::vector<std::string> named;
+    std::vector<std::string> reportedServers;
     for (const auto& use : report.servers)
-        named.push_back(use.server);
+        reportedServers.push_back(use.server);
     m_lastReport = m_clock.now();
-    m_isHeldBack = false;
+    m_awaitsPermit = false;
     if (leader.host == m_settings.host.name) {
         m_linkAddress.clear();
         advice = m_coordinator.onReport(report);
@@ -443,49 +445,49 @@
         advice = co_await reportTo(leader.address, report);
         // A connection that was reset says nothing of the coordinator: the report goes once more over a new one. Taken
         // for its silence, the resets of half of the hosts' connections cost a reading of the store each.
-        const bool brokeOff = !advice && m_clock.now() - m_lastReport < connectionLostWithin;
-        if (brokeOff)
+        const bool connectionFailed = !advice && m_clock.now() - m_lastReport < connectionErrorTime;
+        if (connectionFailed)
             advice = co_await reportTo(leader.address, report);
     }
     const bool answers = advice && advice->coordinates;
     if (!answers)
-        m_reportedTerm = 0; // what the report told is told again, to whoever answers next
+        m_answeringTerm = 0; // what the report told is told again, to whoever answers next
     if (answers)
         m_lastAdvice = m_clock.now();
     // An early report that gets no answer is followed by the next one; until then the coordinator is as it was.
-    if (!answers && m_clock.now() - m_lastAdvice < m_reportEvery)
+    if (!answers && m_clock.now() - m_lastAdvice < m_reportInterval)
         co_return;
     if (answers != m_coordinatorAnswers)
         logChange(answers ? LogLevel::Info : LogLevel::Warning, answers ? "coordinator-answers" : "coordinator-silent",
             { { "coordinator", leader.host }, { "term", leader.modRevision } });
     m_coordinatorAnswers = answers;
     if (answers)
-        takeAdvice(*advice, named);
-    if (!answers || m_election.holds() || m_standsBy || Millis(advice->storeSilentMillis) > storeSilentTooLong)
-        m_follower.onItsOwn();
+        handleAdvice(*advice, reportedServers);
+    if (!answers || m_election.holds() || m_isStandby || Millis(advice->storeSilentMillis) > maxStoreSilence)
+        m_follower.followStore();
     else
-        m_follower.fed(advice->lastChange, Millis(advice->storeSilentMillis));
+        m_follower.followCoordinator(advice->lastChange, Millis(advice->storeSilentMillis));
 }
 
 asio::awaitable<void> GatewayControl::reportLoop()
 {
     for (;;) {
-        if (!m_isHeldBack)
-            co_await m_heldBack.wait(m_reportEvery);
-        const auto least = std::chrono::duration_cast<Millis>(m_reportEvery * earlyReport);
-        const Millis since = m_clock.now() - m_lastReport;
-        if (since < least)
-            co_await sleepFor(least - since);
+        if (!m_awaitsPermit)
+            co_await m_permitNeeded.wait(m_reportInterval);
+        const auto minInterval = std::chrono::duration_cast<Millis>(m_reportInterval * minReportIntervalFactor);
+        const Millis elapsed = m_clock.now() - m_lastReport;
+        if (elapsed < minInterval)
+            co_await sleepFor(minInterval - elapsed);
         m_coordinator.setStoreSilence(m_clock.now() - m_follower.lastAnswer());
         co_await reportOnce();
         if (m_pushFailed)
-            pushAll();
+            pushFullUpdate();
     }
 }
 
 namespace {
 
-    size_t holdersIn(const GrantTable& table, const ServerMap& servers, const std::string& dataCentre)
+    size_t countHolders(const GrantTable& table, const ServerMap& servers, const std::string& dataCentre)
     {
         std::set<std::string_view> holders;
         for (const auto& range : table.ranges) {
@@ -515,7 +517,7 @@
     for (const auto& [centre, since] : m_view.evacuations()) {
         size_t holders = 0; // of keys there, or on their way from there
         for (const auto& [service, table] : m_view.tables())
-            holders += holdersIn(*table, *m_view.servers(), centre);
+            holders += countHolders(*table, *m_view.servers(), centre);
         evacuated.push_back(json::object {
             { "dataCentre", centre }, { "sinceMs", (m_clock.now() - since).count() }, { "keyHolders", holders } });
     }
--- a/packages/gateway/PlatformFollower.cpp
+++ b/packages/gateway/PlatformFollower.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-    constexpr Millis firstPause { 50 }; // after a failed read; most failures are one lost connection
-    constexpr Millis longestPause { 400 }; // recovery within half a second of the store's return
-    constexpr std::string_view everything; // one watch for all keys costs as much as one for a few
+    constexpr Millis initialBackoff { 50 }; // after a failed read; most failures are one lost connection
+    constexpr Millis maxBackoff { 400 }; // recovery within half a second of the store's return
+    constexpr std::string_view allKeys; // one watch for all keys costs as much as one for a few
 
     size_t bytesOf(const RangeReply& reply)
     {
@@ -35,29 +35,29 @@
     , m_options(options)
     , m_store(store)
     , m_view(view)
-    , m_sink(std::move(sink))
+    , m_changeSink(std::move(sink))
     , m_eventSink(std::move(eventSink))
     , m_reads(metrics.counter("store_reads"))
     , m_bytesRead(metrics.counter("store_bytes_read"))
     , m_watches(metrics.counter("store_watches"))
     , m_failures(metrics.counter("store_failures"))
-    , m_changed(m_executor)
+    , m_modeChanged(m_executor)
 {
 }
 
-void PlatformFollower::noteAnswer(bool answers)
+void PlatformFollower::recordAnswer(bool answers)
 {
-    if (answers != m_answers)
+    if (answers != m_storeAnswers)
         logChange(answers ? LogLevel::Info : LogLevel::Warning, answers ? "store-answers" : "store-silent",
             { { "silentMs", (m_clock.now() - m_lastAnswer).count() } });
-    m_answers = answers;
+    m_storeAnswers = answers;
     if (answers)
         m_lastAnswer = m_clock.now();
     else
         m_failures.add();
 }
 
-void PlatformFollower::noteReading(std::string_view why, Instant begun, const RangeReply& reply)
+void PlatformFollower::recordRead(std::string_view why, Instant begun, const RangeReply& reply)
 {
     m_reads.add();
     const size_t bytes = bytesOf(reply);
@@ -71,122 +71,122 @@
 asio::awaitable<bool> PlatformFollower::readAll(std::string_view why)
 {
     const Instant begun = m_clock.now();
-    const RangeReply reply = co_await m_store.range(std::string(everything), true, m_options.callTimeout);
-    noteReading(why, begun, reply);
+    const RangeReply reply = co_await m_store.range(std::string(allKeys), true, m_options.callTimeout);
+    recordRead(why, begun, reply);
     if (reply.status != StoreStatus::Ok) {
-        noteAnswer(false);
+        recordAnswer(false);
         co_return false;
     }
-    const bool afterOutage = m_hasRead && outageWasLong();
-    noteAnswer(true);
-    m_hasRead = true;
+    const bool afterOutage = m_hasSnapshot && outageWasLong();
+    recordAnswer(true);
+    m_hasSnapshot = true;
     const auto change = m_view.applySnapshot(reply, afterOutage);
-    ++m_reading;
-    if (m_view.missingAny())
-        asio::co_spawn(m_executor, dropMissingLater(m_reading), asio::detached);
-    m_sink(change);
+    ++m_snapshotNumber;
+    if (m_view.hasMissingServers())
+        asio::co_spawn(m_executor, removeMissingAfterDelay(m_snapshotNumber), asio::detached);
+    m_changeSink(change);
     co_return true;
 }
 
-void PlatformFollower::expect(std::string key, int64_t revision, Millis within)
+void PlatformFollower::readItemIfMissed(std::string key, int64_t revision, Millis timeout)
 {
     if (!m_view.knows(key, revision))
-        spawnLoop(m_executor, "item-reader", readItem(std::move(key), revision, within));
+        spawnLoop(m_executor, "item-reader", readItem(std::move(key), revision, timeout));
 }
 
-asio::awaitable<void> PlatformFollower::readItem(std::string key, int64_t revision, Millis within)
+asio::awaitable<void> PlatformFollower::readItem(std::string key, int64_t revision, Millis timeout)
 {
-    co_await sleepFor(within);
-    for (Millis pause = firstPause; !m_view.knows(key, revision); pause = std::min(longestPause, pause * 2)) {
+    co_await sleepFor(timeout);
+    for (Millis backoff = initialBackoff; !m_view.knows(key, revision); backoff = std::min(maxBackoff, backoff * 2)) {
         const Instant begun = m_clock.now();
         const RangeReply reply = co_await m_store.range(key, false, m_options.callTimeout);
-        noteReading("a large item was missed", begun, reply);
+        recordRead("a large item was missed", begun, reply);
         if (reply.status == StoreStatus::Ok) {
             // Erased meanwhile: that is told like any other change.
             if (!reply.values.empty())
-                m_sink(m_view.applyItem(reply.values.front()));
+                m_changeSink(m_view.applyItem(reply.values.front()));
             co_return;
         }
-        co_await sleepFor(pause / 2 + randomBelow(pause));
+        co_await sleepFor(backoff / 2 + randomBelow(backoff));
     }
 }
 
-asio::awaitable<void> PlatformFollower::dropMissingLater(uint64_t reading)
+asio::awaitable<void> PlatformFollower::removeMissingAfterDelay(uint64_t snapshotNumber)
 {
-    co_await sleepFor(m_options.entriesReturnWithin);
+    co_await sleepFor(m_options.reregistrationTime);
     // A later reading has looked again, and waits again if the store was away again.
-    if (reading != m_reading)
+    if (snapshotNumber != m_snapshotNumber)
         co_return;
-    const auto change = m_view.dropMissing();
+    const auto change = m_view.removeMissingServers();
     if (change.any())
-        m_sink(change);
+        m_changeSink(change);
 }
 
 asio::awaitable<void> PlatformFollower::run()
 {
-    Millis pause = firstPause;
-    bool wasFed = false;
+    Millis backoff = initialBackoff;
+    bool followedCoordinator = false;
     for (;;) {
-        if (m_fed && m_hasRead) {
-            wasFed = true;
-            co_await m_changed.wait(m_options.fedPause);
+        if (m_followsCoordinator && m_hasSnapshot) {
+            followedCoordinator = true;
+            co_await m_modeChanged.wait(m_options.modeCheckInterval);
             continue;
         }
-        const std::string_view why = m_hasRead ? "the watch ended" : "start";
+        const std::string_view why = m_hasSnapshot ? "the watch ended" : "start";
         bool ready = false;
-        if (wasFed && !outageWasLong())
-            ready = co_await readOwnItems();
+        if (followedCoordinator && !outageWasLong())
+            ready = co_await readRouterItems();
         else
             ready = co_await readAll(why);
         if (!ready) {
-            co_await sleepFor(pause / 2 + randomBelow(pause));
-            pause = std::min(longestPause, pause * 2);
+            co_await sleepFor(backoff / 2 + randomBelow(backoff));
+            backoff = std::min(maxBackoff, backoff * 2);
             continue;
         }
-        wasFed = false;
-        pause = firstPause;
-        co_await follow();
+        followedCoordinator = false;
+        backoff = initialBackoff;
+        co_await watchLoop();
         // A watch that ends at once must not turn this into a busy loop of reads.
-        if (!m_fed)
-            co_await sleepFor(randomBelow(2 * firstPause));
+        if (!m_followsCoordinator)
+            co_await sleepFor(randomBelow(2 * initialBackoff));
     }
 }
 
-bool PlatformFollower::outageWasLong() const { return m_clock.now() - m_lastAnswer > m_options.shortOutage; }
+bool PlatformFollower::outageWasLong() const { return m_clock.now() - m_lastAnswer > m_options.maxShortOutage; }
 
 // A host whose coordinator has fallen silent goes on from what it was told. A reading of everything takes the smallest
 // links more than a second, and all hosts begin theirs at once.
-asio::awaitable<bool> PlatformFollower::readOwnItems()
+asio::awaitable<bool> PlatformFollower::readRouterItems()
 {
     const Instant begun = m_clock.now();
     const RangeReply reply = co_await m_store.range(std::string(storePrefix), true, m_options.callTimeout);
-    noteReading("the coordinator is silent", begun, reply);
+    recordRead("the coordinator is silent", begun, reply);
     const bool answered = reply.status == StoreStatus::Ok;
-    noteAnswer(answered);
+    recordAnswer(answered);
     if (answered)
-        m_sink(m_view.applyOwnItems(reply));
+        m_changeSink(m_view.applyRouterItems(reply));
     co_return answered;
 }
 
-asio::awaitable<void> PlatformFollower::follow()
+asio::awaitable<void> PlatformFollower::watchLoop()
 {
-    Millis pause = firstPause;
-    Millis wait = m_options.watchFor;
-    while (!m_fed) {
+    Millis backoff = initialBackoff;
+    Millis wait = m_options.watchDuration;
+    while (!m_followsCoordinator) {
         const WatchEnd end = co_await watchOnce(wait);
         if (end == WatchEnd::Stopped) {
-            pause = firstPause;
-            wait = m_options.watchFor;
+            backoff = initialBackoff;
+            wait = m_options.watchDuration;
             continue;
         }
         // A lost answer loses no change: the next watch tells it, and at once. After a longer outage entries may have
         // lapsed that come back, which only a reading can treat with care.
         if (end == WatchEnd::HistoryGone || outageWasLong())
             co_return;
-        noteAnswer(false);
-        wait = m_options.shortWatch;
-        pause = std::min(longestPause, pause * 2);
-        co_await sleepFor(randomBelow(pause));
+        recordAnswer(false);
+        wait = m_options.retryWatchDuration;
+        backoff = std::min(maxBackoff, backoff * 2);
+        co_await sleepFor(randomBelow(backoff));
     }
 }
 
@@ -194,46 +194,46 @@
 {
     bool changed = false;
     m_watches.add();
-    const WatchEnd end = co_await m_store.watch(std::string(everything), m_view.revision() + 1, wait,
+    const WatchEnd end = co_await m_store.watch(std::string(allKeys), m_view.revision() + 1, wait,
         [&](int64_t revision, const std::vector<WatchEvent>& events) {
             changed = !events.empty();
-            noteAnswer(true);
+            recordAnswer(true);
             const int64_t before = m_view.lastChange();
             const auto change = m_view.applyEvents(revision, events);
             if (change.any())
-                m_sink(change);
+                m_changeSink(change);
             if (changed)
                 m_eventSink(before, events);
             return false; // asked anew, unless this host is fed by then
         });
     if (changed)
-        co_await sleepFor(m_options.gather);
+        co_await sleepFor(m_options.batchDelay);
     co_return end;
 }
 
-void PlatformFollower::fed(int64_t coordinatorsChange, Millis storeSilence)
+void PlatformFollower::followCoordinator(int64_t coordinatorLastChange, Millis storeSilence)
 {
-    m_fed = true;
+    m_followsCoordinator = true;
     m_lastAnswer = std::max(m_lastAnswer, m_clock.now() - storeSilence);
-    if (coordinatorsChange > m_view.lastChange() && !std::exchange(m_behind, true))
-        spawnLoop(m_executor, "catch-up", catchUp(coordinatorsChange));
+    if (coordinatorLastChange > m_view.lastChange() && !std::exchange(m_isCatchingUp, true))
+        spawnLoop(m_executor, "catch-up", catchUp(coordinatorLastChange));
 }
 
-void PlatformFollower::onItsOwn()
+void PlatformFollower::followStore()
 {
-    if (std::exchange(m_fed, false))
-        m_changed.notifyAll();
+    if (std::exchange(m_followsCoordinator, false))
+        m_modeChanged.notifyAll();
 }
 
-asio::awaitable<void> PlatformFollower::catchUp(int64_t coordinatorsChange)
+asio::awaitable<void> PlatformFollower::catchUp(int64_t coordinatorLastChange)
 {
-    co_await sleepFor(m_options.newsWithin);
-    if (coordinatorsChange > m_view.lastChange()) {
+    co_await sleepFor(m_options.newsTimeout);
+    if (coordinatorLastChange > m_view.lastChange()) {
         logChange(LogLevel::Warning, "news-missed",
-            { { "lastChange", m_view.lastChange() }, { "coordinators", coordinatorsChange } });
+            { { "lastChange", m_view.lastChange() }, { "coordinators", coordinatorLastChange } });
         co_await readAll("news missed");
     }
-    m_behind = false;
+    m_isCatchingUp = false;
 }
 
 }
--- a/packages/gateway/PlatformView.cpp
+++ b/packages/gateway/PlatformView.cpp
@@ -18,27 +18,27 @@
 namespace {
 
     // A host that starts reads some thousand servers at once: lines for the first ones, a count of the others.
-    constexpr size_t mostRegistrationLines = 32;
+    constexpr size_t maxRegistrationLines = 32;
 
     // A document of a later version may have the same new word in each of some thousand routes.
-    constexpr size_t mostOddityLines = 32;
+    constexpr size_t maxRulesWarnings = 32;
 
-    void logOddities(const std::vector<FieldFault>& oddities, int64_t version)
+    void logRulesWarnings(const std::vector<FieldFault>& oddities, int64_t version)
     {
-        const size_t told = std::min(oddities.size(), mostOddityLines);
-        for (size_t i = 0; i < told; ++i)
+        const size_t logged = std::min(oddities.size(), maxRulesWarnings);
+        for (size_t i = 0; i < logged; ++i)
             logChange(LogLevel::Warning, "rules-odd",
                 { { "version", version }, { "field", oddities[i].field }, { "allowed", oddities[i].allowed } });
-        if (told < oddities.size())
+        if (logged < oddities.size())
             logChange(LogLevel::Warning, "rules-odd",
-                { { "version", version }, { "count", oddities.size() }, { "leftOut", oddities.size() - told } });
+                { { "version", version }, { "count", oddities.size() }, { "leftOut", oddities.size() - logged } });
     }
 
 }
 
 void PlatformView::logServer(const RegisteredServer& server, int64_t revision)
 {
-    if (!server.leaving && ++m_registrations > mostRegistrationLines)
+    if (!server.leaving && ++m_batchRegistrations > maxRegistrationLines)
         return;
     logChange(LogLevel::Info, server.leaving ? "server-leaving" : "server-registered",
         { { "server", server.id }, { "service", server.service },
@@ -46,23 +46,23 @@
             { "warmupLeftMs", server.warmupLeft.count() }, { "revision", revision } });
 }
 
-void PlatformView::logRegistrationsLeftOut()
+void PlatformView::logOmittedRegistrations()
 {
-    const size_t registrations = std::exchange(m_registrations, 0);
-    if (registrations > mostRegistrationLines)
+    const size_t registrations = std::exchange(m_batchRegistrations, 0);
+    if (registrations > maxRegistrationLines)
         logChange(LogLevel::Info, "servers-registered",
-            { { "count", registrations }, { "leftOut", registrations - mostRegistrationLines } });
+            { { "count", registrations }, { "leftOut", registrations - maxRegistrationLines } });
 }
 
 PlatformView::Change PlatformView::applyEvents(int64_t revision, const std::vector<WatchEvent>& events)
 {
     Change change;
     for (const auto& event : events) {
-        if (isOthers(event.value.key))
-            m_known.markCompleteUpTo(event.value.modRevision);
+        if (isExternalKey(event.value.key))
+            m_knownChanges.markCompleteUpTo(event.value.modRevision);
         applyEvent(event, change);
     }
-    logRegistrationsLeftOut();
+    logOmittedRegistrations();
     m_revision = std::max(m_revision, revision);
     return change;
 }
@@ -83,7 +83,7 @@
         present.insert(value.key);
         applyValue(value, change);
     }
-    logRegistrationsLeftOut();
+    logOmittedRegistrations();
     if (!present.count(leaderKey()))
         applyErased(leaderKey(), reply.revision, change);
     std::set<std::string> presentServers;
@@ -91,7 +91,7 @@
         if (m_adapter.itemOf(key) == StoreItem::Server)
             presentServers.insert(m_adapter.serverNameIn(key));
     }
-    for (const auto& [name, entry] : m_entries) {
+    for (const auto& [name, entry] : m_serverEntries) {
         if (!entry.id.empty() && !presentServers.count(name) && entry.revision <= reply.revision)
             m_missing[name] = reply.revision;
     }
@@ -100,15 +100,15 @@
         if (evacuation.inForce && !present.count(key) && evacuation.revision <= reply.revision)
             applyEvacuation(key, reply.revision, false, change);
     }
-    for (const auto& [name, readAt] : m_missing)
-        changeServers(change).at(m_entries.at(name).id).unconfirmed = true;
+    for (const auto& [name, snapshotRevision] : m_missing)
+        mutableServers(change).at(m_serverEntries.at(name).id).unconfirmed = true;
     if (!afterOutage) {
-        const Change dropped = dropMissing();
+        const Change dropped = removeMissingServers();
         change.servers |= dropped.servers;
     }
     // Erasures leave no item behind: what was read is as new as the store then was.
-    m_known.markCompleteUpTo(reply.revision);
-    m_readAt = std::max(m_readAt, reply.revision);
+    m_knownChanges.markCompleteUpTo(reply.revision);
+    m_snapshotRevision = std::max(m_snapshotRevision, reply.revision);
     m_revision = std::max(m_revision, reply.revision);
     return change;
 }
@@ -120,12 +120,12 @@
     Change change;
     for (const auto& event : events)
         applyEvent(event, change);
-    logRegistrationsLeftOut();
-    m_known.add(afterChange, lastChange);
+    logOmittedRegistrations();
+    m_knownChanges.add(afterChange, lastChange);
     return change;
 }
 
-PlatformView::Change PlatformView::applyOwnItems(const RangeReply& reply)
+PlatformView::Change PlatformView::applyRouterItems(const RangeReply& reply)
 {
     Change change;
     bool leader = false;
@@ -135,14 +135,14 @@
     }
     if (!leader)
         applyErased(leaderKey(), reply.revision, change);
-    m_revision = std::max(m_revision, std::min(std::max(m_known.complete(), m_toldUpTo), reply.revision));
+    m_revision = std::max(m_revision, std::min(std::max(m_knownChanges.complete(), m_unchangedUpTo), reply.revision));
     return change;
 }
 
-void PlatformView::noteComplete(int64_t lastChange, int64_t storeRevision)
+void PlatformView::confirmUnchanged(int64_t lastChange, int64_t storeRevision)
 {
-    if (m_known.complete() >= lastChange)
-        m_toldUpTo = std::max(m_toldUpTo, storeRevision);
+    if (m_knownChanges.complete() >= lastChange)
+        m_unchangedUpTo = std::max(m_unchangedUpTo, storeRevision);
 }
 
 PlatformView::Change PlatformView::applyItem(const KeyValue& value)
@@ -158,8 +158,8 @@
     case StoreItem::Rules:
         return m_rulesRevision >= revision;
     case StoreItem::Server: {
-        const auto entry = m_entries.find(m_adapter.serverNameIn(key));
-        return entry != m_entries.end() && entry->second.revision >= revision;
+        const auto entry = m_serverEntries.find(m_adapter.serverNameIn(key));
+        return entry != m_serverEntries.end() && entry->second.revision >= revision;
     }
     case StoreItem::Evacuation: {
         const auto evacuation = m_evacuations.find(m_adapter.dataCentreIn(key));
@@ -171,13 +171,13 @@
     return true; // nothing of it is kept
 }
 
-PlatformView::Change PlatformView::dropMissing()
+PlatformView::Change PlatformView::removeMissingServers()
 {
     Change change;
-    for (const auto& [name, readAt] : std::exchange(m_missing, {})) {
-        Entry& entry = m_entries.at(name);
-        entry.revision = std::max(entry.revision, readAt); // a late message of before can't bring it back
-        dropServer(name, readAt, "missing in the store", change);
+    for (const auto& [name, snapshotRevision] : std::exchange(m_missing, {})) {
+        ServerEntry& entry = m_serverEntries.at(name);
+        entry.revision = std::max(entry.revision, snapshotRevision); // a late message of before can't bring it back
+        dropServer(name, snapshotRevision, "missing in the store", change);
     }
     return change;
 }
@@ -193,7 +193,7 @@
     return change;
 }
 
-ServerMap& PlatformView::changeServers(Change& change)
+ServerMap& PlatformView::mutableServers(Change& change)
 {
     // A new map for every batch of changes: the routing duty reads the old one on its own thread.
     if (!change.servers)
@@ -219,7 +219,7 @@
     RouteRules& rules = reading.rules;
     if (m_rules && rules.version <= m_rules->version)
         return;
-    logOddities(reading.oddities, rules.version);
+    logRulesWarnings(reading.oddities, rules.version);
     logChange(LogLevel::Info, "rules-in-force",
         { { "version", rules.version }, { "revision", value.modRevision }, { "routes", rules.routeCount() } });
     m_rules = std::make_shared<const RouteRules>(std::move(rules));
@@ -228,24 +228,24 @@
 
 void PlatformView::dropServer(const std::string& name, int64_t revision, std::string_view why, Change& change)
 {
-    const std::string id = std::exchange(m_entries[name].id, {});
+    const std::string id = std::exchange(m_serverEntries[name].id, {});
     m_missing.erase(name);
     if (id.empty())
         return;
-    changeServers(change).erase(id);
+    mutableServers(change).erase(id);
     logChange(LogLevel::Info, "server-gone", { { "server", id }, { "revision", revision }, { "why", why } });
 }
 
 void PlatformView::applyServer(const KeyValue& value, Change& change)
 {
     const std::string name = m_adapter.serverNameIn(value.key);
-    Entry& entry = m_entries[name];
+    ServerEntry& entry = m_serverEntries[name];
     if (value.modRevision < entry.revision)
         return;
     const bool wasMissing = m_missing.erase(name);
     // The same write may be heard of twice; and one that is older than a reading which didn't show its server was
     // followed by an erasure that this host didn't hear of.
-    const bool erasedSince = !entry.revision && value.modRevision <= m_readAt;
+    const bool erasedSince = !entry.revision && value.modRevision <= m_snapshotRevision;
     const bool repeated = value.modRevision == entry.revision && !wasMissing;
     if (repeated || erasedSince)
         return;
@@ -292,7 +292,7 @@
     if (held == m_servers->end() || held->second.leaving != server.leaving)
         logServer(server, value.modRevision);
     entry.id = server.id;
-    changeServers(change).insert_or_assign(entry.id, std::move(server));
+    mutableServers(change).insert_or_assign(entry.id, std::move(server));
 }
 
 void PlatformView::applyEvacuation(const std::string& key, int64_t revision, bool inForce, Change& change)
@@ -304,7 +304,7 @@
     }
     Evacuation& evacuation = m_evacuations[centre];
     // As with servers: a write that a later reading of everything didn't show was followed by an erasure.
-    const bool erasedSince = inForce && !evacuation.revision && revision <= m_readAt;
+    const bool erasedSince = inForce && !evacuation.revision && revision <= m_snapshotRevision;
     if (revision <= evacuation.revision || erasedSince)
         return;
     evacuation.key = key;
@@ -319,14 +319,14 @@
 
 void PlatformView::markEvacuated(const std::string& dataCentre, bool evacuated, Change& change)
 {
-    std::vector<std::string> there;
+    std::vector<std::string> serverIds;
     for (const auto& [id, server] : *m_servers) {
         if (server.dataCentre == dataCentre)
-            there.push_back(id);
+            serverIds.push_back(id);
     }
     const Instant now = m_clock.now();
-    for (const auto& id : there) {
-        RegisteredServer& server = changeServers(change).at(id);
+    for (const auto& id : serverIds) {
+        RegisteredServer& server = mutableServers(change).at(id);
         server.evacuated = evacuated;
         // Servers that nobody used may have lost their caches, and their entries tell of it up to a heartbeat later.
         // A data centre that comes back is therefore warming up until an entry that is newer says otherwise.
@@ -358,7 +358,7 @@
         return;
     }
     if (value.key == listedHostsKey()) {
-        noteListed(decodeListedHosts(value.value), value.modRevision);
+        recordListed(decodeListedHosts(value.value), value.modRevision);
         return;
     }
     if (value.key == quarantineKey()) {
@@ -379,7 +379,7 @@
             logChange(LogLevel::Error, "table-refused", { { "key", value.key }, { "revision", value.modRevision } });
             return;
         }
-        m_stored[table->service] = std::make_shared<const GrantTable>(*table);
+        m_storedTables[table->service] = std::make_shared<const GrantTable>(*table);
         const Change applied = applyTable(std::move(*table));
         change.tables.insert(applied.tables.begin(), applied.tables.end());
         return;
@@ -415,7 +415,7 @@
     if (item != StoreItem::Server)
         return;
     const std::string name = m_adapter.serverNameIn(key);
-    Entry& entry = m_entries[name];
+    ServerEntry& entry = m_serverEntries[name];
     if (revision <= entry.revision)
         return;
     entry.revision = revision;
@@ -430,8 +430,8 @@
 
 std::shared_ptr<const GrantTable> PlatformView::storedTable(std::string_view service) const
 {
-    const auto found = m_stored.find(service);
-    return found == m_stored.end() ? nullptr : found->second;
+    const auto found = m_storedTables.find(service);
+    return found == m_storedTables.end() ? nullptr : found->second;
 }
 
 int64_t PlatformView::modRevisionOf(const std::string& key) const
@@ -440,22 +440,22 @@
     return found == m_tableRevisions.end() ? 0 : found->second;
 }
 
-void PlatformView::noteWritten(const GrantTable& table, int64_t modRevision)
+void PlatformView::recordWritten(const GrantTable& table, int64_t modRevision)
 {
     int64_t& revision = m_tableRevisions[grantTableKey(table.service)];
     if (modRevision <= revision)
         return;
     revision = modRevision;
-    m_stored[table.service] = std::make_shared<const GrantTable>(table);
+    m_storedTables[table.service] = std::make_shared<const GrantTable>(table);
 }
 
-void PlatformView::noteStored(const GrantTable& table, int64_t modRevision)
+void PlatformView::recordStored(const GrantTable& table, int64_t modRevision)
 {
     m_tableRevisions[grantTableKey(table.service)] = modRevision;
-    m_stored[table.service] = std::make_shared<const GrantTable>(table);
+    m_storedTables[table.service] = std::make_shared<const GrantTable>(table);
 }
 
-void PlatformView::noteListed(std::set<std::string, std::less<>> hosts, int64_t modRevision)
+void PlatformView::recordListed(std::set<std::string, std::less<>> hosts, int64_t modRevision)
 {
     if (modRevision <= m_listedRevision)
         return;
