--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -211,7 +211,7 @@
     std::vector<WatchEvent> others;
     for (const auto& event : events) {
         // Tables and the leadership are sent to the hosts in other ways.
-        if (m_view.isOthers(event.value.key))
+        if (m_view.isExternalKey(event.value.key))
             others.push_back(event);
     }
     if (!others.empty())
@@ -459,7 +459,7 @@
         revision = present ? found.values.front().modRevision : 0;
         const auto stored = present ? decodeGrantTable(found.values.front().value) : std::nullopt;
         if (stored)
-            m_view.noteStored(*stored, revision);
+            m_view.recordStored(*stored, revision);
     }
     co_return all ? revision : 0;
 }
@@ -480,7 +480,7 @@
         co_return;
     const Instant now = m_clock.now();
     for (const auto& table : writing.tables) {
-        m_view.noteWritten(table, revision);
+        m_view.recordWritten(table, revision);
         const auto plan = m_plans.find(table.service);
         if (plan != m_plans.end())
             plan->second->onWritten(table.edition.edition, now);
@@ -488,7 +488,7 @@
     if (writing.quarantine)
         m_writtenQuarantineEdition = writing.quarantineEdition;
     if (!writing.hosts.empty()) {
-        m_view.noteListed(writing.hosts, revision);
+        m_view.recordListed(writing.hosts, revision);
         m_leadership.setListedHosts(std::move(writing.hosts));
     }
     m_wakeUp.notifyAll();
