--- a/packages/decisions/DeadlineQueue.h
+++ b/packages/decisions/DeadlineQueue.h
@@ -5,9 +5,8 @@
 //
 // - Requests that can still meet their target start first, ordered by rank and then by target. Requests that will miss
 //   it fill the gaps: a late answer has some value, but must not make another request late.
-// - Lower ranks don't starve: each `oldestFirstInterval`th start ignores the rank and takes the oldest request, of
-// those
-//   that can meet their target if there are any.
+// - Lower ranks don't starve: each `oldestFirstInterval`th start ignores the rank and takes the oldest request,
+//   of those that can meet their target if there are any.
 // - A request is refused as soon as the work ahead of it shows that the server can't answer before its deadline: on
 //   arrival, or when later requests of a higher rank overtake it. Its caller then has time to retry, which it would not
 //   have at the deadline. For a request that will miss its target, the estimate allows for later requests that
--- a/packages/decisions/RateLimit.h
+++ b/packages/decisions/RateLimit.h
@@ -3,9 +3,8 @@
 // A server that announces a limit is overloaded or degraded: the limit may be a tenth of its usual rate, and less than
 // one request a second for each host. The limit therefore applies to the sum over all hosts:
 //
-// - KnownRateLimit, on each host: what this host knows of a server's limit, from the server's responses to this host
-// and
-//   from the coordinator.
+// - KnownRateLimit, on each host: what this host knows of a server's limit, from the server's responses to this
+//   host and from the coordinator.
 // - GlobalRateLimiter, at the coordinator: the newest limit of each server, with a token bucket for each. Requests to a
 //   limited server need a permit from there.
 // - LocalRateLimiter, on each host, while no coordinator answers: each host sends at times of its own. The sum stays
