--- a/packages/gateway/GatewayControl.cpp
+++ b/packages/gateway/GatewayControl.cpp
@@ -45,7 +45,7 @@
     }
 
     ElectionOptions electionOptions(
-        const Settings& settings, std::function<void()> whenChanged, std::function<Millis()> candidacyDelay)
+        const Settings& settings, std::function<void()> whenChanged, std::function<Millis()> campaignDelay)
     {
         ElectionOptions options;
         options.host = settings.host.name;
@@ -53,7 +53,7 @@
         options.lease = leaseOf(*settings.gateway);
         options.callTimeout = Millis(800); // allows for a slow store; a request without an answer is repeated
         options.onLeadershipChange = std::move(whenChanged);
-        options.campaignDelay = std::move(candidacyDelay);
+        options.campaignDelay = std::move(campaignDelay);
         return options;
     }
 
@@ -102,7 +102,7 @@
           })
     , m_election(executor, clock,
           electionOptions(
-              settings, [this] { m_coordinator.wake(); }, [this] { return candidacyDelay(); }),
+              settings, [this] { m_coordinator.wake(); }, [this] { return campaignDelay(); }),
           store, m_view, metrics)
     , m_coordinator(executor, clock, adapter, coordinatorOptions(settings), store, m_view, m_election, metrics,
           [this](GrantTable table) { onViewChange(m_view.applyTable(std::move(table))); })
@@ -227,7 +227,7 @@
 
 // Hosts with enough processor time are candidates first, then weaker ones, and hosts that aren't standbys later still:
 // a coordinator with little processor time serves its callers worse, and each candidate costs the store two writes.
-Millis GatewayControl::candidacyDelay() const
+Millis GatewayControl::campaignDelay() const
 {
     constexpr double fullStrength = 0.5; // cores
     constexpr Millis maxWeaknessDelay { 150 };
--- a/packages/gateway/GatewayControl.h
+++ b/packages/gateway/GatewayControl.h
@@ -50,7 +50,7 @@
     void handleTable(const std::string& text);
     void updateCrashes(int64_t edition, std::span<const int64_t> suspects, std::span<const int64_t> quarantined);
     void publishCrashes(); // to the routing thread, if they differ from what it was sent last
-    Millis candidacyDelay() const;
+    Millis campaignDelay() const;
 
     boost::asio::any_io_executor m_executor;
     const Clock& m_clock;
