--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -7,7 +7,7 @@
 #include "decisions/ServerIdentity.h"
 #include "decisions/ServerNotice.h"
 #include "resources/QuarantineCodec.h"
-#include "routing/Refusals.h"
+#include "routing/ErrorResponses.h"
 #include "routing/RequestHeaders.h"
 
 #include <algorithm>
