--- a/packages/gateway/Coordinator.h
+++ b/packages/gateway/Coordinator.h
@@ -36,7 +36,7 @@
     Millis registrationQuietPeriod { 700 }; // without a new server, before a new service's keys are assigned
     Millis stepInterval { 30 }; // longest time between two calls of step() while this host is the leader
     Millis releaseTimeout { 3'000 }; // a server answers a release only after its requests in progress have ended
-    Millis balanceInterval { 400 }; // limits the writes of tables, each of which wakes the watches of all hosts
+    Millis balanceInterval { 400 }; // at most one write per round; each write wakes the watches of all hosts
     Millis loadHalfLife { 2'000 }; // of the measured load of keys: hot keys change within seconds
     Millis minReportInterval { 250 }; // slot shares follow a burst within about half a second
     // With more hosts than this, each host reports less often, so that the coordinator's work stays bounded. The number
