--- a/packages/control/Control.cpp
+++ b/packages/control/Control.cpp
@@ -66,11 +66,11 @@
     , m_metrics(metrics)
     , m_statusBoard(board)
     , m_sink(std::move(sink))
-    , m_freshness(settings.host.name, { settings.timing.lease })
-    , m_mesh(executor, clock, settings, m_view, m_freshness, metrics, *this)
+    , m_routingLease(settings.host.name, { settings.timing.lease })
+    , m_mesh(executor, clock, settings, m_view, m_routingLease, metrics, *this)
     , m_peerServer(
           executor, settings.host.peers.address, settings.host.peers.port, m_mesh, metrics.counter("peers_bytes_sent"))
-    , m_follower(clock, settings, store, m_view, m_freshness, metrics, *this)
+    , m_follower(clock, settings, store, m_view, m_routingLease, metrics, *this)
     , m_election(executor, clock, { settings.host.name, {}, settings.timing.leaderLease }, store, m_view, metrics)
     , m_assigner(clock, settings, store, hostList, m_view, m_election, m_mesh, m_loadAggregator, metrics,
           [this](const ViewChange& change) { onViewChange(change); })
@@ -104,7 +104,7 @@
     if (change.leader)
         m_election.onLeaderChange();
     if (change.roster) {
-        m_freshness.updateRoster(*m_view.roster());
+        m_routingLease.updateRoster(*m_view.roster());
         choosePeers();
         RoutingUpdate update;
         update.roster = m_view.roster();
@@ -116,19 +116,19 @@
         sendUpdate(std::move(update));
     }
     for (const auto& service : change.tables) {
-        m_freshness.updateTableVersion(service, m_view.table(service)->version);
+        m_routingLease.updateTableVersion(service, m_view.table(service)->version);
         RoutingUpdate update;
         update.table = m_view.table(service);
         sendUpdate(std::move(update));
     }
     if (change.any()) {
         m_mesh.refreshOwnState();
-        publishFreshness();
+        publishLeases();
         publishStatus(); // so that an operator who reads the status after a write sees the write
     }
 }
 
-void Control::onFreshness() { publishFreshness(); }
+void Control::onLeaseChange() { publishLeases(); }
 
 void Control::onStoreRead()
 {
@@ -136,16 +136,16 @@
     if (!m_configurationSent)
         publishEverything(); // even if the configuration is empty
     m_configurationSent = true;
-    publishFreshness();
+    publishLeases();
 }
 
-void Control::publishFreshness()
+void Control::publishLeases()
 {
     const Instant now = m_clock.now();
     RoutingUpdate update;
     for (const auto& [service, table] : m_view.tables()) {
-        const LeaseValidity fresh { service, table->version, m_freshness.validUntil(service, now) };
-        LeaseValidity& lastSent = m_sentFreshness[service];
+        const LeaseValidity fresh { service, table->version, m_routingLease.validUntil(service, now) };
+        LeaseValidity& lastSent = m_sentLeases[service];
         // Every heartbeat answer extends the lease a little. Waking the routing thread for each of them would cost more
         // than all heartbeats together.
         if (fresh.tableVersion == lastSent.tableVersion && fresh.validUntil < lastSent.validUntil + minLeaseExtension)
@@ -160,7 +160,7 @@
 void Control::publishEverything()
 {
     m_updateLost = false;
-    m_sentFreshness.clear();
+    m_sentLeases.clear();
     m_sentRelays.clear();
     RoutingUpdate update;
     update.resources = m_view.resources();
@@ -171,7 +171,7 @@
         tableUpdate.table = table;
         sendUpdate(std::move(tableUpdate));
     }
-    publishFreshness();
+    publishLeases();
 }
 
 void Control::onRoutingReport(RoutingReport report)
@@ -269,7 +269,7 @@
     for (;;) {
         choosePeers();
         m_mesh.refreshOwnState();
-        publishFreshness();
+        publishLeases();
         publishRelays();
         if (m_updateLost)
             publishEverything();
@@ -287,8 +287,8 @@
         const Instant now = m_clock.now();
         bool stale = false;
         for (const auto& [service, table] : m_view.tables())
-            stale = stale || m_freshness.validUntil(service, now) < now + staleReadInterval / 2;
-        if (!stale || !m_freshness.mayRoute())
+            stale = stale || m_routingLease.validUntil(service, now) < now + staleReadInterval / 2;
+        if (!stale || !m_routingLease.mayRoute())
             continue;
         m_metrics.counter("store_reads_stale").add();
         co_await m_follower.readAll();
@@ -301,7 +301,7 @@
     auto snapshot = std::make_shared<StatusSnapshot>();
     const Instant now = m_clock.now();
     snapshot->host = m_settings.host.name;
-    snapshot->counts = m_freshness.countsInMajorities();
+    snapshot->counts = m_routingLease.countsInMajorities();
     snapshot->isAssigner = m_election.mayAct();
     snapshot->storeAnswers = m_follower.storeAnswers();
     snapshot->storeWentBack = m_follower.storeWentBack();
@@ -311,7 +311,7 @@
     snapshot->roster = m_view.roster();
     snapshot->tables = m_view.tables();
     for (const auto& [service, table] : m_view.tables())
-        snapshot->freshForMillis[service] = (m_freshness.validUntil(service, now) - now).count();
+        snapshot->freshForMillis[service] = (m_routingLease.validUntil(service, now) - now).count();
     snapshot->reports = m_mesh.reports(now);
     m_statusBoard.publish(std::move(snapshot));
 }
--- a/packages/control/Control.h
+++ b/packages/control/Control.h
@@ -26,11 +26,11 @@
 
 private:
     void onViewChange(const ViewChange&) override;
-    void onFreshness() override;
+    void onLeaseChange() override;
     void onStoreRead() override;
     void onPeerLoad(const wire::LoadReport&) override;
 
-    void publishFreshness();
+    void publishLeases();
     void publishRelays();
     void publishEverything();
     void sendUpdate(RoutingUpdate);
@@ -47,7 +47,7 @@
     StatusBoard& m_statusBoard;
     UpdateSink m_sink;
     ClusterView m_view;
-    RoutingLease m_freshness;
+    RoutingLease m_routingLease;
     PeerMesh m_mesh;
     PeerServer m_peerServer;
     StoreFollower m_follower;
@@ -55,7 +55,7 @@
     LoadAggregator m_loadAggregator;
     AssignerDriver m_assigner;
     bool m_configurationSent = false; // whether the routing thread has been sent the whole view
-    std::map<std::string, LeaseValidity> m_sentFreshness; // last value sent to the routing thread, by service
+    std::map<std::string, LeaseValidity> m_sentLeases; // last value sent to the routing thread, by service
     std::map<std::string, std::vector<Member>> m_sentRelays; // last value sent to the routing thread, by server
     bool m_updateLost = false; // the queue was full; housekeeping() sends everything again
 };
--- a/packages/control/PeerMesh.cpp
+++ b/packages/control/PeerMesh.cpp
@@ -15,12 +15,12 @@
 }
 
 PeerMesh::PeerMesh(asio::any_io_executor executor, const Clock& clock, const Settings& settings, ClusterView& view,
-    RoutingLease& freshness, Metrics& metrics, MeshEvents& events)
+    RoutingLease& routingLease, Metrics& metrics, MeshEvents& events)
     : m_executor(executor)
     , m_clock(clock)
     , m_settings(settings)
     , m_view(view)
-    , m_freshness(freshness)
+    , m_routingLease(routingLease)
     , m_bytesSent(metrics.counter("peers_bytes_sent"))
     , m_beats(metrics.counter("peers_beats"))
     , m_beatsMissed(metrics.counter("peers_beats_missed"))
@@ -40,8 +40,8 @@
     const uint64_t incarnation = m_own.report.incarnation;
     next.report = std::move(report);
     next.report.incarnation = incarnation;
-    next.report.counts = m_freshness.countsInMajorities();
-    next.report.rosterVersion = m_freshness.known().roster;
+    next.report.counts = m_routingLease.countsInMajorities();
+    next.report.rosterVersion = m_routingLease.known().roster;
     if (next.sameAs(m_own))
         return;
     m_own = std::move(next);
@@ -52,9 +52,9 @@
 void PeerMesh::refreshOwnState()
 {
     PeerState next = m_own;
-    next.known = m_freshness.known();
+    next.known = m_routingLease.known();
     next.resourcesKnown = m_view.resources()->revision;
-    next.report.counts = m_freshness.countsInMajorities();
+    next.report.counts = m_routingLease.countsInMajorities();
     next.report.rosterVersion = next.known.roster;
     if (next.sameAs(m_own))
         return;
@@ -125,9 +125,9 @@
             // An answer without a state confirms the state that this host already has, if the sequence is the same.
             // With another sequence it can't be used.
             if (answer->sequence == peer.sequence) {
-                m_freshness.recordPeerAnswer(name, askedAt, peer.state.known, peer.state.report.counts);
+                m_routingLease.recordPeerAnswer(name, askedAt, peer.state.known, peer.state.report.counts);
                 refreshOwnState();
-                m_events.onFreshness();
+                m_events.onLeaseChange();
                 co_await fetchNewerVersions(name, link);
             }
         } else {
@@ -145,14 +145,14 @@
 {
     const Millis timeout = m_settings.timing.lease;
     const PeerState state = m_peers[name].state;
-    if (state.known.roster > m_freshness.known().roster) {
+    if (state.known.roster > m_routingLease.known().roster) {
         const auto text = co_await link->roster(timeout);
         auto roster = text ? decodeRoster(*text) : std::nullopt;
         if (roster)
             m_events.onViewChange(m_view.applyRoster(*roster, 0));
     }
     for (const auto& [service, version] : state.known.tables) {
-        if (version <= m_freshness.known().ofTable(service))
+        if (version <= m_routingLease.known().ofTable(service))
             continue;
         const auto bytes = co_await link->table(service, timeout);
         auto table = bytes ? decodeTable(*bytes) : std::nullopt;
--- a/packages/control/PeerMesh.h
+++ b/packages/control/PeerMesh.h
@@ -26,7 +26,7 @@
 public:
     virtual ~MeshEvents() = default;
     virtual void onViewChange(const ViewChange&) = 0; // newer data arrived from a peer
-    virtual void onFreshness() = 0; // the routing lease may have been extended
+    virtual void onLeaseChange() = 0; // the routing lease may have been extended
     virtual void onPeerLoad(const wire::LoadReport&) = 0;
 };
 
@@ -74,7 +74,7 @@
     const Clock& m_clock;
     const Settings& m_settings;
     ClusterView& m_view;
-    RoutingLease& m_freshness;
+    RoutingLease& m_routingLease;
     Counter& m_bytesSent;
     Counter& m_beats;
     Counter& m_beatsMissed;
--- a/packages/control/StoreFollower.cpp
+++ b/packages/control/StoreFollower.cpp
@@ -20,12 +20,12 @@
 }
 
 StoreFollower::StoreFollower(const Clock& clock, const Settings& settings, Store& store, ClusterView& view,
-    RoutingLease& freshness, Metrics& metrics, FollowerEvents& events)
+    RoutingLease& routingLease, Metrics& metrics, FollowerEvents& events)
     : m_clock(clock)
     , m_settings(settings)
     , m_store(store)
     , m_view(view)
-    , m_freshness(freshness)
+    , m_routingLease(routingLease)
     , m_events(events)
     , m_reads(metrics.counter("store_reads"))
     , m_watches(metrics.counter("store_watches"))
@@ -61,7 +61,7 @@
     const ViewChange change = m_view.applySnapshot(reply);
     if (change.any())
         m_events.onViewChange(change);
-    m_freshness.recordStoreAnswer(askedAt, versionsIn(reply));
+    m_routingLease.recordStoreAnswer(askedAt, versionsIn(reply));
     m_events.onStoreRead();
     co_return true;
 }
--- a/packages/control/StoreFollower.h
+++ b/packages/control/StoreFollower.h
@@ -32,7 +32,7 @@
     const Settings& m_settings;
     Store& m_store;
     ClusterView& m_view;
-    RoutingLease& m_freshness;
+    RoutingLease& m_routingLease;
     FollowerEvents& m_events;
     Counter& m_reads;
     Counter& m_watches;
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -172,10 +172,10 @@
     const Settings settings;
     FakeStore store;
     ClusterView view;
-    RoutingLease freshness("host", {});
+    RoutingLease routingLease("host", {});
     Metrics metrics;
     NoEvents events;
-    StoreFollower follower(clock, settings, store, view, freshness, metrics, events);
+    StoreFollower follower(clock, settings, store, view, routingLease, metrics, events);
     store.revision = 50;
     store.put(resourceKey("Service", "a"), storedText({ service("a", 2000), "op-2" }));
     store.put(resourceKey("Service", "b"), storedText({ service("b"), "op-2" }));
