--- a/packages/backends/Prober.cpp
+++ b/packages/backends/Prober.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    constexpr Millis afterRefusal { 20 }; // a refusal comes at once: confirm it soon, without a busy loop
+    constexpr Millis delayAfterRefusal { 20 }; // a refusal comes at once: confirm it soon, without a busy loop
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
 
     asio::awaitable<bool> refusesConnections(std::string address, uint16_t port, Millis timeout)
@@ -25,16 +25,16 @@
 
 }
 
-Prober::Prober(asio::any_io_executor executor, const Clock& clock, std::string host, std::string address, uint16_t port,
-    MonitorOptions options, ServerMonitor& watch, std::function<void()> changed)
+Prober::Prober(asio::any_io_executor executor, const Clock& clock, std::string ownHost, std::string address,
+    uint16_t port, MonitorOptions options, ServerMonitor& monitor, std::function<void()> onChange)
     : m_executor(std::move(executor))
     , m_clock(clock)
-    , m_host(std::move(host))
+    , m_ownHost(std::move(ownHost))
     , m_address(std::move(address))
     , m_port(port)
     , m_options(options)
-    , m_watch(watch)
-    , m_changed(std::move(changed))
+    , m_monitor(monitor)
+    , m_onChange(std::move(onChange))
     , m_client(std::make_unique<HttpClient>(m_executor, m_address, m_port))
 {
 }
@@ -51,31 +51,31 @@
 {
     HttpCall call;
     call.target = "/health";
-    call.headers.emplace_back("Cumindale-Host", m_host);
-    const Instant askedAt = m_clock.now();
+    call.headers.emplace_back("Cumindale-Host", m_ownHost);
+    const Instant sentAt = m_clock.now();
     const HttpReply reply = co_await m_client->send(call, m_options.probeTimeout);
     if (m_stopped)
         co_return;
-    const Reachability before = m_watch.reachability();
-    const bool tookWork = m_watch.acceptsNewWork();
-    Millis pause = m_options.probeInterval;
+    const Reachability previousReachability = m_monitor.reachability();
+    const bool acceptedNewWork = m_monitor.acceptsNewWork();
+    Millis delay = m_options.probeInterval;
     if (reply.arrived()) {
-        m_watch.answered(m_clock.now());
-    } else if (m_clock.now() - askedAt >= m_options.probeTimeout) {
+        m_monitor.answered(m_clock.now());
+    } else if (m_clock.now() - sentAt >= m_options.probeTimeout) {
         // The next probe goes over a fresh connection: if that answers, only the old one had gone silent.
-        m_watch.probeMissed(m_clock.now());
-        pause = Millis(0);
+        m_monitor.probeMissed(m_clock.now());
+        delay = Millis(0);
     } else {
         const bool refused = co_await refusesConnections(m_address, m_port, m_options.probeTimeout);
         if (m_stopped)
             co_return;
         if (refused)
-            m_watch.refused(m_clock.now());
-        pause = afterRefusal;
+            m_monitor.refused(m_clock.now());
+        delay = delayAfterRefusal;
     }
-    if (m_watch.reachability() != before || m_watch.acceptsNewWork() != tookWork)
-        m_changed();
-    co_await sleepFor(pause);
+    if (m_monitor.reachability() != previousReachability || m_monitor.acceptsNewWork() != acceptedNewWork)
+        m_onChange();
+    co_await sleepFor(delay);
 }
 
 }
--- a/packages/backends/Prober.h
+++ b/packages/backends/Prober.h
@@ -17,8 +17,8 @@
 public:
     // `changed` is called after each probe that changed what the watch says. The watch may outlive nothing: call
     // stop() before it goes.
-    Prober(boost::asio::any_io_executor, const Clock&, std::string host, std::string address, uint16_t port,
-        MonitorOptions, ServerMonitor&, std::function<void()> changed);
+    Prober(boost::asio::any_io_executor, const Clock&, std::string ownHost, std::string address, uint16_t port,
+        MonitorOptions, ServerMonitor&, std::function<void()> onChange);
     void start();
     void stop() { m_stopped = true; }
 
@@ -28,12 +28,12 @@
 
     boost::asio::any_io_executor m_executor;
     const Clock& m_clock;
-    std::string m_host; // this host's name, told with each probe
+    std::string m_ownHost; // this host's name, told with each probe
     std::string m_address;
     uint16_t m_port;
     MonitorOptions m_options;
-    ServerMonitor& m_watch;
-    std::function<void()> m_changed;
+    ServerMonitor& m_monitor;
+    std::function<void()> m_onChange;
     std::unique_ptr<HttpClient> m_client;
     bool m_stopped = false;
 };
--- a/packages/backends/ServerPool.cpp
+++ b/packages/backends/ServerPool.cpp
@@ -19,10 +19,10 @@
 namespace {
 
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
-    constexpr uint64_t largestAnswer = 64'000'000; // bytes; a larger one is a bad answer
-    constexpr uint32_t largestAnswerHeader = 64 * 1024;
-    constexpr Millis closingMargin { 500 }; // before the time at which the server closes an idle connection
-    constexpr unsigned slotsOvercommit
+    constexpr uint64_t maxResponseBytes = 64'000'000; // bytes; a larger one is a bad answer
+    constexpr uint32_t maxResponseHeaderBytes = 64 * 1024;
+    constexpr Millis idleTimeoutMargin { 500 }; // before the time at which the server closes an idle connection
+    constexpr unsigned slotOvercommitFactor
         = 1; // all hosts together may have this many times the slots in flight, each rounded up
 
 }
@@ -40,13 +40,13 @@
     co_return m_reusable;
 }
 
-bool BackendConnection::hasUnasked() { return hasInput(m_stream); }
+bool BackendConnection::hasUnsolicitedInput() { return hasInput(m_stream); }
 
 namespace {
 
     // The time after which the server closes the connection if it is idle, as "Keep-Alive: timeout=5" (RFC 2068,
     // section 19.7.1.1); as good as forever if it says nothing.
-    Millis idleTimeIn(const BackendResponse& response)
+    Millis keepAliveTimeoutOf(const BackendResponse& response)
     {
         const std::string_view text = response[http::field::keep_alive];
         constexpr std::string_view name = "timeout=";
@@ -57,31 +57,32 @@
         return Millis(seconds * 1000);
     }
 
-    bool endsConnection(beast::error_code error)
+    bool isConnectionLoss(beast::error_code error)
     {
         return error == http::error::end_of_stream || error == http::error::partial_message
             || error.category() == asio::error::get_system_category();
     }
 
-    ErrorKind kindOfAnswerError(beast::error_code error)
+    ErrorKind responseErrorKind(beast::error_code error)
     {
         if (error == beast::error::timeout)
             return ErrorKind::DeadlineAfterSend;
-        return endsConnection(error) ? ErrorKind::ConnectionLost : ErrorKind::BadAnswer;
+        return isConnectionLoss(error) ? ErrorKind::ConnectionLost : ErrorKind::BadAnswer;
     }
 
 }
 
-asio::awaitable<beast::error_code> BackendConnection::readAnswer(const BackendRequest& request, BackendResponse& answer)
+asio::awaitable<beast::error_code> BackendConnection::readResponse(
+    const BackendRequest& request, BackendResponse& response)
 {
     http::response_parser<http::string_body> parser;
-    parser.body_limit(largestAnswer);
-    parser.header_limit(largestAnswerHeader);
+    parser.body_limit(maxResponseBytes);
+    parser.header_limit(maxResponseHeaderBytes);
     if (request.method() == http::verb::head)
         parser.skip(true);
-    const auto [error, got] = co_await http::async_read(m_stream, m_buffer, parser, token);
+    const auto [error, bytesRead] = co_await http::async_read(m_stream, m_buffer, parser, token);
     if (!error)
-        answer = parser.release();
+        response = parser.release();
     co_return error;
 }
 
@@ -92,74 +93,74 @@
     m_reusable = false; // until a whole answer came
     m_stream.expires_after(timeout);
     result.sent = true;
-    const auto [writeError, written] = co_await http::async_write(m_stream, request, token);
+    const auto [writeError, bytesWritten] = co_await http::async_write(m_stream, request, token);
     // A server may refuse a long request before it has read it, and close: its answer may wait although the rest of
     // the body could not be written.
     beast::error_code error = writeError == beast::error::timeout ? writeError : beast::error_code {};
-    bool crossed = false;
-    constexpr int mostForeignAnswers = 3; // more than a server ever has left over from earlier requests
-    for (int i = 0; !error && i <= mostForeignAnswers; ++i) {
-        error = co_await readAnswer(request, result.response);
+    bool sawStaleResponse = false;
+    constexpr int maxStaleResponses = 3; // more than a server ever has left over from earlier requests
+    for (int i = 0; !error && i <= maxStaleResponses; ++i) {
+        error = co_await readResponse(request, result.response);
         if (error || echoHeader.empty())
             break;
         const std::string_view echo = result.response[echoHeader];
         if (echo.empty() || echo == std::string_view(request[echoHeader]))
             break;
-        crossed = true;
-        if (i == mostForeignAnswers)
+        sawStaleResponse = true;
+        if (i == maxStaleResponses)
             error = http::error::bad_value;
     }
     if (error) {
-        result.error = kindOfAnswerError(error);
-        result.ended = true;
+        result.error = responseErrorKind(error);
+        result.incomplete = true;
         resetConnection(m_stream);
         co_return result;
     }
-    m_idleAllowed = idleTimeIn(result.response);
+    m_serverIdleTimeout = keepAliveTimeoutOf(result.response);
     // Bytes after the answer belong to no request: such a connection can't be trusted again.
-    m_reusable = result.response.keep_alive() && !m_buffer.size() && !crossed && !writeError;
+    m_reusable = result.response.keep_alive() && !m_buffer.size() && !sawStaleResponse && !writeError;
     co_return result;
 }
 
 // --- Slots
 
-ServerPool::ServerPool(asio::any_io_executor executor, const Clock& clock, ServerResource server, MonitorOptions watch,
-    std::unique_ptr<SlotQueue> admission, Millis trustIdle)
+ServerPool::ServerPool(asio::any_io_executor executor, const Clock& clock, ServerResource server,
+    MonitorOptions monitor, std::unique_ptr<SlotQueue> admission, Millis maxIdleNonIdempotent)
     : m_executor(std::move(executor))
     , m_clock(clock)
     , m_server(std::move(server))
-    , m_watch(watch)
+    , m_monitor(monitor)
     , m_admission(std::move(admission))
-    , m_trustIdle(trustIdle)
+    , m_maxIdleNonIdempotent(maxIdleNonIdempotent)
 {
 }
 
 void ServerPool::update(const ServerResource& server, size_t hosts)
 {
     if (server.address != m_server.address || server.port != m_server.port)
-        dropIdle();
+        closeIdleConnections();
     m_server = server;
-    const size_t sharers = std::max<size_t>(1, hosts);
-    m_mostIdle = std::max<size_t>(1, server.connections / sharers);
-    const size_t share = (size_t(server.slots) * slotsOvercommit + sharers - 1) / sharers;
-    m_admission->setLimit(static_cast<unsigned>(std::min(m_mostIdle, share)));
-    startWaiting();
+    const size_t hostCount = std::max<size_t>(1, hosts);
+    m_maxConnections = std::max<size_t>(1, server.connections / hostCount);
+    const size_t share = (size_t(server.slots) * slotOvercommitFactor + hostCount - 1) / hostCount;
+    m_admission->setLimit(static_cast<unsigned>(std::min(m_maxConnections, share)));
+    admitQueued();
 }
 
 void ServerPool::setLimit(double limit)
 {
-    m_admission->setLimit(std::min(static_cast<double>(m_mostIdle), limit));
-    startWaiting();
+    m_admission->setLimit(std::min(static_cast<double>(m_maxConnections), limit));
+    admitQueued();
 }
 
 void ServerPool::setPermits(std::optional<unsigned> permits, Millis pause)
 {
     m_admission->setPermits(permits, pause, m_clock.now());
-    tellShed();
-    startWaiting();
+    notifyShed();
+    admitQueued();
 }
 
-asio::awaitable<ServerPool::Admitted> ServerPool::admit(PriorityClass priority, Instant arrived, Instant deadline)
+asio::awaitable<ServerPool::AdmitResult> ServerPool::admit(PriorityClass priority, Instant arrived, Instant deadline)
 {
     SlotRequest request;
     request.priority = priority;
@@ -168,65 +169,65 @@
     co_return co_await admit(request);
 }
 
-asio::awaitable<ServerPool::Admitted> ServerPool::admit(SlotRequest request)
+asio::awaitable<ServerPool::AdmitResult> ServerPool::admit(SlotRequest request)
 {
     const TicketId ticket = m_nextTicket++;
     request.ticket = ticket;
     const Instant now = m_clock.now();
     const SlotQueue::Verdict verdict = m_admission->requestSlot(request, now);
-    tellShed();
+    notifyShed();
     switch (verdict) {
     case SlotQueue::Verdict::Started:
-        co_return Admitted::Yes;
+        co_return AdmitResult::Admitted;
     case SlotQueue::Verdict::Refused:
-        co_return Admitted::Refused;
+        co_return AdmitResult::Refused;
     case SlotQueue::Verdict::Queued:
         break;
     }
-    Waiting waiting { Signal(m_executor) };
-    m_waiting.emplace(ticket, &waiting);
+    Waiter waiter { Signal(m_executor) };
+    m_waiters.emplace(ticket, &waiter);
     const Instant latestStart = m_admission->latestStart(request);
-    for (Instant time = now; !waiting.admitted && !waiting.evicted && !waiting.shed && time < latestStart;
+    for (Instant time = now; !waiter.admitted && !waiter.evicted && !waiter.shed && time < latestStart;
          time = m_clock.now()) {
-        co_await waiting.signal.wait(std::min(latestStart, m_admission->nextStart(time)) - time);
-        startWaiting();
+        co_await waiter.signal.wait(std::min(latestStart, m_admission->nextStart(time)) - time);
+        admitQueued();
     }
-    m_waiting.erase(ticket);
-    if (waiting.admitted)
-        co_return Admitted::Yes;
+    m_waiters.erase(ticket);
+    if (waiter.admitted)
+        co_return AdmitResult::Admitted;
     m_admission->withdraw(ticket);
-    if (waiting.shed && !waiting.evicted)
-        co_return Admitted::Refused; // one that is evicted as well may be served elsewhere
-    co_return waiting.evicted ? Admitted::Evicted : Admitted::TimedOut;
+    if (waiter.shed && !waiter.evicted)
+        co_return AdmitResult::Refused; // one that is evicted as well may be served elsewhere
+    co_return waiter.evicted ? AdmitResult::Evicted : AdmitResult::TimedOut;
 }
 
-void ServerPool::tellShed()
+void ServerPool::notifyShed()
 {
     for (const TicketId ticket : m_admission->takeShed()) {
-        Waiting& waiting = *m_waiting.at(ticket);
-        waiting.shed = true;
-        waiting.signal.notifyAll();
+        Waiter& waiter = *m_waiters.at(ticket);
+        waiter.shed = true;
+        waiter.signal.notifyAll();
     }
 }
 
 void ServerPool::evictQueue()
 {
-    for (auto& [ticket, waiting] : m_waiting) {
-        waiting->evicted = true;
-        waiting->signal.notifyAll();
+    for (auto& [ticket, waiter] : m_waiters) {
+        waiter->evicted = true;
+        waiter->signal.notifyAll();
     }
 }
 
 void ServerPool::release(PriorityClass priority, Millis took)
 {
     m_admission->releaseSlot(priority, took, m_clock.now());
-    startWaiting();
+    admitQueued();
 }
 
-void ServerPool::startWaiting()
+void ServerPool::admitQueued()
 {
     while (const auto ticket = m_admission->startNext(m_clock.now())) {
-        const auto found = m_waiting.find(*ticket);
+        const auto found = m_waiters.find(*ticket);
         found->second->admitted = true;
         found->second->signal.notifyAll();
     }
@@ -234,19 +235,19 @@
 
 // --- Connections
 
-asio::awaitable<ConnectionPointer> ServerPool::take(bool idempotent, Millis timeout)
+asio::awaitable<ConnectionPointer> ServerPool::acquireConnection(bool idempotent, Millis timeout)
 {
     const Instant now = m_clock.now();
-    while (!m_idle.empty()) {
-        ConnectionPointer connection = std::move(m_idle.back());
-        m_idle.pop_back();
+    while (!m_idleConnections.empty()) {
+        ConnectionPointer connection = std::move(m_idleConnections.back());
+        m_idleConnections.pop_back();
         // Something between the two ends may have lost track of an idle connection: what is sent over it would
         // go nowhere, and nobody could say whether it ran. A fresh connection costs about 1 ms.
-        const Millis idle = now - connection->lastAnswer;
-        const bool closing
-            = connection->idleAllowed() != Millis::max() && idle + closingMargin >= connection->idleAllowed();
-        const bool trusted = (idempotent || idle <= m_trustIdle) && !closing;
-        if (trusted && !connection->hasUnasked())
+        const Millis idle = now - connection->lastResponseAt;
+        const bool closesSoon = connection->serverIdleTimeout() != Millis::max()
+            && idle + idleTimeoutMargin >= connection->serverIdleTimeout();
+        const bool usable = (idempotent || idle <= m_maxIdleNonIdempotent) && !closesSoon;
+        if (usable && !connection->hasUnsolicitedInput())
             co_return connection;
     }
     co_return co_await connect(timeout);
@@ -260,13 +261,13 @@
     co_return connection;
 }
 
-void ServerPool::giveBack(ConnectionPointer connection)
+void ServerPool::returnConnection(ConnectionPointer connection)
 {
-    connection->lastAnswer = m_clock.now();
-    if (connection->reusable() && m_idle.size() < m_mostIdle)
-        m_idle.push_back(std::move(connection));
+    connection->lastResponseAt = m_clock.now();
+    if (connection->reusable() && m_idleConnections.size() < m_maxConnections)
+        m_idleConnections.push_back(std::move(connection));
 }
 
-void ServerPool::dropIdle() { m_idle.clear(); }
+void ServerPool::closeIdleConnections() { m_idleConnections.clear(); }
 
 }
--- a/packages/backends/ServerPool.h
+++ b/packages/backends/ServerPool.h
@@ -31,7 +31,7 @@
 struct ExchangeResult {
     ErrorKind error = ErrorKind::None;
     bool sent = false; // at least one byte may have reached the server
-    bool ended = false; // without a whole answer
+    bool incomplete = false; // without a whole answer
     BackendResponse response;
 };
 
@@ -42,18 +42,21 @@
     // `echoHeader`: the server repeats this header of the request in its answer. An answer with another value belongs
     // to an earlier request and is dropped; the connection is not used again.
     boost::asio::awaitable<ExchangeResult> exchange(BackendRequest&, Millis timeout, std::string_view echoHeader = {});
-    void abandon() { m_stream.cancel(); } // ends a running exchange as if the connection were lost
+    void cancelExchange() { m_stream.cancel(); } // ends a running exchange as if the connection were lost
     bool reusable() const { return m_reusable; }
-    bool hasUnasked(); // a byte or an end is waiting although nothing was asked
-    Instant lastAnswer {};
-    Millis idleAllowed() const { return m_idleAllowed; } // as the server's last answer said; it closes it after
+    bool hasUnsolicitedInput(); // a byte or an end is waiting although nothing was asked
+    Instant lastResponseAt {};
+    Millis serverIdleTimeout() const
+    {
+        return m_serverIdleTimeout;
+    } // as the server's last answer said; it closes it after
 
 private:
-    boost::asio::awaitable<boost::beast::error_code> readAnswer(const BackendRequest&, BackendResponse&);
+    boost::asio::awaitable<boost::beast::error_code> readResponse(const BackendRequest&, BackendResponse&);
 
     boost::beast::tcp_stream m_stream;
     boost::beast::flat_buffer m_buffer;
-    Millis m_idleAllowed { Millis::max() };
+    Millis m_serverIdleTimeout { Millis::max() };
     bool m_reusable = false;
 };
 
@@ -63,52 +66,52 @@
 public:
     ServerPool(boost::asio::any_io_executor, const Clock&, ServerResource, MonitorOptions, // with an Admission
         std::unique_ptr<SlotQueue> = std::make_unique<Admission>(AdmissionOptions {}),
-        Millis trustIdle
+        Millis maxIdleNonIdempotent
         = Millis(1'000)); // a non-idempotent request goes only over a connection that answered so lately
 
     const ServerResource& server() const { return m_server; }
     void update(const ServerResource&, size_t hosts); // new settings, and how many hosts share the server
     void setLimit(double); // requests at once from this host, where it is not an even share
     void setPermits(std::optional<unsigned>, Millis pause); // see SlotQueue
-    ServerMonitor& watch() { return m_watch; }
-    const ServerMonitor& watch() const { return m_watch; }
+    ServerMonitor& monitor() { return m_monitor; }
+    const ServerMonitor& monitor() const { return m_monitor; }
 
     // --- Slots. `admit` waits for one in the queue.
-    enum class Admitted : uint8_t { Yes, Refused, TimedOut, Evicted };
-    boost::asio::awaitable<Admitted> admit(PriorityClass, Instant arrived, Instant deadline);
-    boost::asio::awaitable<Admitted> admit(SlotRequest); // its ticket is given here
+    enum class AdmitResult : uint8_t { Admitted, Refused, TimedOut, Evicted };
+    boost::asio::awaitable<AdmitResult> admit(PriorityClass, Instant arrived, Instant deadline);
+    boost::asio::awaitable<AdmitResult> admit(SlotRequest); // its ticket is given here
     void evictQueue(); // what waits here looks anew for its owner, and keeps its age
     void release(PriorityClass, Millis took); // after each admit() that said Yes; 0: the slot was not used
     Millis expectedWait(PriorityClass priority) const { return m_admission->expectedWait(priority); }
     const SlotQueue& admission() const { return *m_admission; }
 
     // --- Connections. Null: could not connect.
-    boost::asio::awaitable<ConnectionPointer> take(bool idempotent, Millis timeout);
+    boost::asio::awaitable<ConnectionPointer> acquireConnection(bool idempotent, Millis timeout);
     boost::asio::awaitable<ConnectionPointer> connect(Millis timeout); // a new one
-    void giveBack(ConnectionPointer);
-    void dropIdle(); // the server went silent: its old connections may be dead for good
+    void returnConnection(ConnectionPointer);
+    void closeIdleConnections(); // the server went silent: its old connections may be dead for good
 
 private:
-    struct Waiting {
+    struct Waiter {
         Signal signal;
         bool admitted = false;
         bool evicted = false;
         bool shed = false;
     };
 
-    void startWaiting();
-    void tellShed();
+    void admitQueued();
+    void notifyShed();
 
     boost::asio::any_io_executor m_executor;
     const Clock& m_clock;
     ServerResource m_server;
-    ServerMonitor m_watch;
+    ServerMonitor m_monitor;
     std::unique_ptr<SlotQueue> m_admission;
-    Millis m_trustIdle;
-    std::unordered_map<TicketId, Waiting*> m_waiting;
+    Millis m_maxIdleNonIdempotent;
+    std::unordered_map<TicketId, Waiter*> m_waiters;
     TicketId m_nextTicket = 1;
-    std::deque<ConnectionPointer> m_idle; // newest last
-    size_t m_mostIdle = 1;
+    std::deque<ConnectionPointer> m_idleConnections; // newest last
+    size_t m_maxConnections = 1;
 };
 
 }
--- a/packages/callers/CallerServer.cpp
+++ b/packages/callers/CallerServer.cpp
@@ -26,14 +26,14 @@
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
     constexpr std::string_view healthPath = "/cumindale/health";
     constexpr Instant noDeadline = Instant::max();
-    constexpr Millis overdueLook { 50 };
-    constexpr Millis answerTimeout { 60'000 }; // for a caller to take its whole answer
-    constexpr size_t readAtOnce = 4'096; // bytes
-    constexpr uint64_t chunkedReserve = 1'000'000; // set aside for a body of unknown length
+    constexpr Millis sessionCheckInterval { 50 };
+    constexpr Millis responseTimeout { 60'000 }; // for a caller to take its whole answer
+    constexpr size_t readChunkBytes = 4'096; // bytes
+    constexpr uint64_t chunkedReservationBytes = 1'000'000; // set aside for a body of unknown length
 
     using Parser = http::request_parser<http::string_body>;
 
-    ErrorKind kindOfReadError(beast::error_code error)
+    ErrorKind readErrorKind(beast::error_code error)
     {
         if (error == http::error::header_limit)
             return ErrorKind::HeadersTooLarge;
@@ -43,14 +43,14 @@
     }
 
     // Whether an answer can still be of use: the connection is there and the fault is the request's.
-    bool answerable(beast::error_code error)
+    bool isParseError(beast::error_code error)
     {
         return error.category() == make_error_code(http::error::bad_method).category();
     }
 
     // Framing that another parser on the way could read otherwise. Beast itself refuses two lengths and a length
     // together with chunked.
-    bool ambiguousFraming(const CallerHeader& header)
+    bool hasAmbiguousFraming(const CallerHeader& header)
     {
         const auto encodings = header.equal_range(http::field::transfer_encoding);
         for (auto it = encodings.first; it != encodings.second; ++it) {
@@ -71,27 +71,27 @@
             : m_used(used)
         {
         }
-        ~BodyReservation() { m_used -= m_mine; }
+        ~BodyReservation() { m_used -= m_reserved; }
         BodyReservation(const BodyReservation&) = delete;
         BodyReservation& operator=(const BodyReservation&) = delete;
 
         bool reserve(size_t bytes, size_t limit)
         {
-            if (bytes <= m_mine)
+            if (bytes <= m_reserved)
                 return true;
-            if (m_used + (bytes - m_mine) > limit)
+            if (m_used + (bytes - m_reserved) > limit)
                 return false;
-            m_used += bytes - m_mine;
-            m_mine = bytes;
+            m_used += bytes - m_reserved;
+            m_reserved = bytes;
             return true;
         }
 
     private:
         size_t& m_used;
-        size_t m_mine = 0;
+        size_t m_reserved = 0;
     };
 
-    CallerResponse healthAnswer(bool ready)
+    CallerResponse healthResponse(bool ready)
     {
         CallerResponse response { ready ? http::status::ok : http::status::service_unavailable, 11 };
         response.body() = ready ? "ok\n" : "leaving\n";
@@ -103,10 +103,10 @@
 struct CallerServer::Shared {
     struct Session {
         beast::tcp_stream stream;
-        Instant lastUsed {}; // opened, or its last answer written
+        Instant lastActivity {}; // opened, or its last answer written
         Instant deadline = noDeadline; // of what it waits for now
         bool timedOut = false;
-        CallerPresence* handling = nullptr; // while the handler works for it
+        CallerConnection* activeCaller = nullptr; // while the handler works for it
         bool busy = false; // a request has begun and its answer is not yet written
         std::string address {}; // of the caller
     };
@@ -122,9 +122,9 @@
     size_t bodyMemoryUsed = 0;
     bool draining = false;
 
-    void allow(Session& session, Millis time)
+    void setTimeout(Session& session, Millis timeout)
     {
-        session.deadline = clock.now() + time;
+        session.deadline = clock.now() + timeout;
         session.timedOut = false;
     }
 
@@ -133,18 +133,18 @@
         if (session.busy == busy)
             return;
         session.busy = busy;
-        session.lastUsed = clock.now();
+        session.lastActivity = clock.now();
     }
 
     static asio::awaitable<void> acceptCallers(std::shared_ptr<Shared>);
-    static asio::awaitable<void> endOverdue(std::shared_ptr<Shared>);
+    static asio::awaitable<void> monitorSessions(std::shared_ptr<Shared>);
     static asio::awaitable<void> serveConnection(std::shared_ptr<Shared>, std::list<Session>::iterator);
     // Each of these returns false when the connection has ended, or must.
     static asio::awaitable<bool> serveRequest(Shared&, Session&, beast::flat_buffer&);
     static asio::awaitable<bool> waitForRequest(Shared&, Session&, beast::flat_buffer&);
-    static asio::awaitable<bool> sayContinue(Session&);
+    static asio::awaitable<bool> sendContinue(Session&);
     static asio::awaitable<bool> refuse(Shared&, Session&, Parser&, ErrorKind);
-    static asio::awaitable<bool> writeAnswer(Shared&, Session&, CallerResponse&, bool keepAlive);
+    static asio::awaitable<bool> writeResponse(Shared&, Session&, CallerResponse&, bool keepAlive);
 
     // These return what is wrong with the request; ConnectionLost: nobody is there to be told.
     static asio::awaitable<ErrorKind> readHeader(Shared&, Session&, beast::flat_buffer&, Parser&);
@@ -160,13 +160,14 @@
     if (!reservation.reserve(length ? *length : 0, shared.limits.bodyMemory))
         co_return ErrorKind::MemoryBudget;
     while (!parser.is_done()) {
-        if (!length && !reservation.reserve(parser.get().body().size() + chunkedReserve, shared.limits.bodyMemory))
+        if (!length
+            && !reservation.reserve(parser.get().body().size() + chunkedReservationBytes, shared.limits.bodyMemory))
             co_return ErrorKind::MemoryBudget;
-        shared.allow(session, shared.limits.bodyIdleTimeout);
-        const auto [error, got] = co_await http::async_read_some(session.stream, buffer, parser, token);
+        shared.setTimeout(session, shared.limits.bodyIdleTimeout);
+        const auto [error, bytesRead] = co_await http::async_read_some(session.stream, buffer, parser, token);
         if (error)
             co_return session.timedOut ? ErrorKind::RequestTimeout
-                : answerable(error)    ? kindOfReadError(error)
+                : isParseError(error)  ? readErrorKind(error)
                                        : ErrorKind::ConnectionLost;
     }
     shared.bodyBytes.add(parser.get().body().size());
@@ -174,12 +175,12 @@
 }
 
 // Writes an answer; false if the connection ends with it.
-asio::awaitable<bool> CallerServer::Shared::writeAnswer(
+asio::awaitable<bool> CallerServer::Shared::writeResponse(
     Shared& shared, Session& session, CallerResponse& response, bool keepAlive)
 {
     response.keep_alive(keepAlive && !shared.draining);
     response.prepare_payload();
-    shared.allow(session, answerTimeout);
+    shared.setTimeout(session, responseTimeout);
     const auto [error, sent] = co_await http::async_write(session.stream, response, token);
     co_return !error && response.keep_alive();
 }
@@ -188,9 +189,9 @@
 {
     if (buffer.size())
         co_return true; // came together with the one before
-    shared.allow(session, shared.limits.idleTimeout);
-    const auto [error, got] = co_await session.stream.async_read_some(buffer.prepare(readAtOnce), token);
-    buffer.commit(got);
+    shared.setTimeout(session, shared.limits.idleTimeout);
+    const auto [error, bytesRead] = co_await session.stream.async_read_some(buffer.prepare(readChunkBytes), token);
+    buffer.commit(bytesRead);
     co_return !error;
 }
 
@@ -198,33 +199,33 @@
     Shared& shared, Session& session, beast::flat_buffer& buffer, Parser& parser)
 {
     parser.header_limit(static_cast<uint32_t>(shared.limits.headerBytes));
-    shared.allow(session, shared.limits.headerTimeout);
-    const auto [error, got] = co_await http::async_read_header(session.stream, buffer, parser, token);
+    shared.setTimeout(session, shared.limits.headerTimeout);
+    const auto [error, bytesRead] = co_await http::async_read_header(session.stream, buffer, parser, token);
     if (!error)
         co_return ErrorKind::None;
     if (session.timedOut)
         co_return ErrorKind::RequestTimeout;
-    co_return answerable(error) ? kindOfReadError(error) : ErrorKind::ConnectionLost;
+    co_return isParseError(error) ? readErrorKind(error) : ErrorKind::ConnectionLost;
 }
 
 // Whether the body is to be read, from the header alone.
 ErrorKind CallerServer::Shared::admit(Shared& shared, Parser& parser)
 {
-    const BodyRule rule = shared.handler.bodyRule(parser.get().base());
-    if (rule.error != ErrorKind::None)
-        return rule.error;
-    if (ambiguousFraming(parser.get().base()))
+    const BodyPolicy policy = shared.handler.bodyPolicy(parser.get().base());
+    if (policy.error != ErrorKind::None)
+        return policy.error;
+    if (hasAmbiguousFraming(parser.get().base()))
         return ErrorKind::BadRequest;
-    if (parser.content_length() && *parser.content_length() > rule.largestBody)
+    if (parser.content_length() && *parser.content_length() > policy.maxBodyBytes)
         return ErrorKind::BodyTooLarge;
-    parser.body_limit(rule.largestBody);
+    parser.body_limit(policy.maxBodyBytes);
     return ErrorKind::None;
 }
 
-asio::awaitable<bool> CallerServer::Shared::sayContinue(Session& session)
+asio::awaitable<bool> CallerServer::Shared::sendContinue(Session& session)
 {
-    http::response<http::empty_body> goOn { http::status::continue_, 11 };
-    const auto [error, sent] = co_await http::async_write(session.stream, goOn, token);
+    http::response<http::empty_body> continueResponse { http::status::continue_, 11 };
+    const auto [error, sent] = co_await http::async_write(session.stream, continueResponse, token);
     co_return !error;
 }
 
@@ -232,10 +233,10 @@
 {
     // With a part of the request unread, the connection can't carry another one.
     const bool keepAlive = parser.is_done() && parser.keep_alive();
-    auto response = shared.handler.refusal(kind);
+    auto response = shared.handler.errorResponse(kind);
     if (parser.get().method() == http::verb::head)
         response.body().clear();
-    co_return co_await writeAnswer(shared, session, response, keepAlive);
+    co_return co_await writeResponse(shared, session, response, keepAlive);
 }
 
 asio::awaitable<bool> CallerServer::Shared::serveRequest(Shared& shared, Session& session, beast::flat_buffer& buffer)
@@ -244,53 +245,53 @@
         co_return false;
     shared.setBusy(session, true);
     Parser parser;
-    ErrorKind fault = co_await readHeader(shared, session, buffer, parser);
-    if (fault == ErrorKind::None && parser.get().target() == healthPath) {
-        auto response = healthAnswer(shared.handler.ready() && !shared.draining);
-        co_return co_await writeAnswer(shared, session, response, parser.keep_alive() && parser.is_done());
+    ErrorKind requestError = co_await readHeader(shared, session, buffer, parser);
+    if (requestError == ErrorKind::None && parser.get().target() == healthPath) {
+        auto response = healthResponse(shared.handler.ready() && !shared.draining);
+        co_return co_await writeResponse(shared, session, response, parser.keep_alive() && parser.is_done());
     }
-    if (fault == ErrorKind::None)
-        fault = admit(shared, parser);
+    if (requestError == ErrorKind::None)
+        requestError = admit(shared, parser);
     const bool expectsContinue = beast::iequals(parser.get()[http::field::expect], "100-continue");
-    if (fault == ErrorKind::None && expectsContinue && !co_await sayContinue(session))
+    if (requestError == ErrorKind::None && expectsContinue && !co_await sendContinue(session))
         co_return false;
     BodyReservation reservation(shared.bodyMemoryUsed);
-    if (fault == ErrorKind::None)
-        fault = co_await readBody(shared, session, buffer, parser, reservation);
-    if (fault == ErrorKind::ConnectionLost)
+    if (requestError == ErrorKind::None)
+        requestError = co_await readBody(shared, session, buffer, parser, reservation);
+    if (requestError == ErrorKind::ConnectionLost)
         co_return false;
-    if (fault != ErrorKind::None)
-        co_return co_await refuse(shared, session, parser, fault);
+    if (requestError != ErrorKind::None)
+        co_return co_await refuse(shared, session, parser, requestError);
 
     const bool keepAlive = parser.keep_alive();
     CallerRequest request = parser.release();
     const bool head = request.method() == http::verb::head;
     shared.requests.add();
     session.deadline = noDeadline;
-    CallerPresence presence;
-    presence.address = session.address;
-    session.handling = &presence;
-    auto response = co_await shared.handler.handle(request, presence);
-    session.handling = nullptr;
+    CallerConnection caller;
+    caller.address = session.address;
+    session.activeCaller = &caller;
+    auto response = co_await shared.handler.handle(request, caller);
+    session.activeCaller = nullptr;
     if (head)
         response.body().clear(); // a body after the answer to HEAD would be taken for the next answer
-    co_return co_await writeAnswer(shared, session, response, keepAlive);
+    co_return co_await writeResponse(shared, session, response, keepAlive);
 }
 
 asio::awaitable<void> CallerServer::Shared::serveConnection(
     std::shared_ptr<Shared> shared, std::list<Session>::iterator session)
 {
     beast::flat_buffer buffer;
-    beast::error_code unknown; // the caller has left already: the address stays empty, and nothing is served
-    const auto caller = session->stream.socket().remote_endpoint(unknown);
-    if (!unknown)
-        session->address = caller.address().to_string();
+    beast::error_code endpointError; // the caller has left already: the address stays empty, and nothing is served
+    const auto endpoint = session->stream.socket().remote_endpoint(endpointError);
+    if (!endpointError)
+        session->address = endpoint.address().to_string();
     try {
         while (co_await serveRequest(*shared, *session, buffer))
             shared->setBusy(*session, false);
-    } catch (const std::exception& why) {
+    } catch (const std::exception& exception) {
         // Only this caller's connection ends; the others go on.
-        logChange(LogLevel::Error, "session-failed", { { "why", why.what() } });
+        logChange(LogLevel::Error, "session-failed", { { "why", exception.what() } });
     }
     shared->setBusy(*session, false);
     beast::error_code ignored;
@@ -300,16 +301,16 @@
 
 // One look over all sessions instead of a timer for each: a cancelled read leaves the connection open, so that
 // its caller still gets a 408.
-asio::awaitable<void> CallerServer::Shared::endOverdue(std::shared_ptr<Shared> shared)
+asio::awaitable<void> CallerServer::Shared::monitorSessions(std::shared_ptr<Shared> shared)
 {
     while (shared->acceptor.is_open() || !shared->sessions.empty()) {
-        co_await sleepFor(overdueLook);
+        co_await sleepFor(sessionCheckInterval);
         const Instant now = shared->clock.now();
         for (auto& session : shared->sessions) {
-            if (session.handling && !session.handling->gone && hasEnded(session.stream)) {
-                session.handling->gone = true;
-                if (session.handling->whenGone)
-                    session.handling->whenGone();
+            if (session.activeCaller && !session.activeCaller->disconnected && hasEnded(session.stream)) {
+                session.activeCaller->disconnected = true;
+                if (session.activeCaller->onDisconnect)
+                    session.activeCaller->onDisconnect();
             }
             if (now < session.deadline)
                 continue;
@@ -343,7 +344,7 @@
         metrics.counter("callers_body_bytes") })
 {
     spawnLoop(executor, "accept-callers", Shared::acceptCallers(m_shared));
-    spawnLoop(executor, "overdue-callers", Shared::endOverdue(m_shared));
+    spawnLoop(executor, "overdue-callers", Shared::monitorSessions(m_shared));
 }
 
 CallerServer::~CallerServer()
@@ -362,13 +363,13 @@
     m_shared->acceptor.close(ignored);
 }
 
-void CallerServer::closeIdle(Millis unusedFor)
+void CallerServer::closeIdle(Millis idleFor)
 {
     // A request on its way to a connection that is being closed would be cut, and its caller could not say
     // whether it ran. So only what the balancer has left alone for a while is closed.
     const Instant now = m_shared->clock.now();
     for (auto& session : m_shared->sessions) {
-        if (!session.busy && now - session.lastUsed >= unusedFor)
+        if (!session.busy && now - session.lastActivity >= idleFor)
             session.stream.cancel();
     }
 }
--- a/packages/callers/CallerServer.h
+++ b/packages/callers/CallerServer.h
@@ -24,25 +24,25 @@
 using CallerRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using CallerResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-struct BodyRule {
+struct BodyPolicy {
     ErrorKind error = ErrorKind::None; // refuse before reading the body
-    uint64_t largestBody = 0; // bytes
+    uint64_t maxBodyBytes = 0; // bytes
 };
 
 // Whether the caller of a request is still there.
-struct CallerPresence {
-    bool gone = false;
+struct CallerConnection {
+    bool disconnected = false;
     std::string address; // the caller's IP number
-    std::function<void()> whenGone; // set it for as long as something should be ended then
+    std::function<void()> onDisconnect; // set it for as long as something should be ended then
 };
 
 // What decides. Called on the server's thread.
 class RequestHandler {
 public:
     virtual ~RequestHandler() = default;
-    virtual BodyRule bodyRule(const CallerHeader&) = 0;
-    virtual boost::asio::awaitable<CallerResponse> handle(CallerRequest&, CallerPresence&) = 0;
-    virtual CallerResponse refusal(ErrorKind) = 0; // an answer that the system makes itself
+    virtual BodyPolicy bodyPolicy(const CallerHeader&) = 0;
+    virtual boost::asio::awaitable<CallerResponse> handle(CallerRequest&, CallerConnection&) = 0;
+    virtual CallerResponse errorResponse(ErrorKind) = 0; // an answer that the system makes itself
     virtual bool ready() const = 0; // for the balancer: whether new callers should come
 };
 
@@ -64,7 +64,7 @@
     void setLimits(const CallerLimits&); // for what comes from now on
     void startDraining(); // health turns; each answer from now on ends its connection
     void stopAccepting(); // no new connections
-    void closeIdle(Millis unusedFor); // connections without a request since so long
+    void closeIdle(Millis idleFor); // connections without a request since so long
     uint16_t port() const;
     size_t connections() const;
 
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -98,7 +98,7 @@
 
 struct Gateway::Job {
     CallerRequest& request;
-    CallerPresence& presence;
+    CallerConnection& presence;
     std::shared_ptr<const RouteRules> rules; // keeps `route` alive
     const HostRoute* route = nullptr;
     std::string service;
@@ -272,7 +272,7 @@
 
 // --- Requests
 
-BodyRule Gateway::bodyRule(const CallerHeader& header)
+BodyPolicy Gateway::bodyPolicy(const CallerHeader& header)
 {
     if (!m_rules)
         return { ErrorKind::NotFresh, 0 };
@@ -281,7 +281,7 @@
     return { ErrorKind::None, m_rules->bounds.bodyBytes };
 }
 
-CallerResponse Gateway::refusal(ErrorKind kind)
+CallerResponse Gateway::errorResponse(ErrorKind kind)
 {
     return ErrorResponses(m_metrics, RetryAfterFormat::FractionalSeconds)
         .make(kind, withJitter(m_options.moveWait), false);
@@ -336,7 +336,7 @@
     return ErrorKind::None;
 }
 
-asio::awaitable<CallerResponse> Gateway::handle(CallerRequest& request, CallerPresence& presence)
+asio::awaitable<CallerResponse> Gateway::handle(CallerRequest& request, CallerConnection& presence)
 {
     Job job { request, presence };
     job.arrived = m_clock.now();
@@ -364,7 +364,7 @@
                 logRequest(job, "answered-late", error, job.tried.back());
             co_return response;
         }
-        if (job.presence.gone || !mayRetry(job, error))
+        if (job.presence.disconnected || !mayRetry(job, error))
             co_return refuse(job, error);
         if (job.sends)
             co_await sleepFor(withJitter(retryPause)); // spread the retries of requests that failed together
@@ -551,21 +551,21 @@
         reportEarly();
     const SlotRequest slot { 0, job.priority, job.route->priority, job.arrived, job.target, job.deadline };
     const auto admitted = co_await server->pool.admit(slot);
-    if (admitted == ServerPool::Admitted::Evicted)
+    if (admitted == ServerPool::AdmitResult::Evicted)
         co_return ErrorKind::OwnerChanged;
-    if (admitted != ServerPool::Admitted::Yes && job.crowded && server->rateLimit()) {
+    if (admitted != ServerPool::AdmitResult::Admitted && job.crowded && server->rateLimit()) {
         job.readyAt = server->nextPermit(m_clock.now());
         co_return ErrorKind::ServerAtLimit;
     }
-    if (admitted == ServerPool::Admitted::Refused)
+    if (admitted == ServerPool::AdmitResult::Refused)
         co_return ErrorKind::Overloaded;
-    if (admitted == ServerPool::Admitted::TimedOut)
+    if (admitted == ServerPool::AdmitResult::TimedOut)
         co_return ErrorKind::DeadlineBeforeSend;
     const auto giveUp = [&] {
         server->accumulateUse(m_clock.now());
         server->pool.release(job.priority, Millis(0));
     };
-    auto connection = co_await server->pool.take(job.route->idempotent(), m_options.connectTimeout);
+    auto connection = co_await server->pool.acquireConnection(job.route->idempotent(), m_options.connectTimeout);
     if (!connection) {
         giveUp();
         server->recordFailure(m_clock.now());
@@ -586,9 +586,9 @@
     // The server has announced a rate limit since this request was admitted without a permit.
     const bool needsPermit = !job.crowded && server->rateLimit() && server->needsPermit(connectedAt);
     const bool mustWait = restarted || needsPermit || !maySendTo(*server, connectedAt);
-    if (moved || mustWait || late || job.presence.gone) {
+    if (moved || mustWait || late || job.presence.disconnected) {
         giveUp();
-        server->pool.giveBack(std::move(connection));
+        server->pool.returnConnection(std::move(connection));
         co_return moved || mustWait ? ErrorKind::OwnerChanged : ErrorKind::DeadlineBeforeSend;
     }
     if (server->warmingUp(connectedAt))
@@ -615,12 +615,12 @@
     ++job.sends;
     job.tried.push_back(id);
     if (job.route->idempotent())
-        job.presence.whenGone = [&connection] { connection->abandon(); };
+        job.presence.onDisconnect = [&connection] { connection->cancelExchange(); };
     const Millis usual = held->pool.admission().meanWork(job.priority);
     const auto overdue = held->overdueTimes.insert(sentAt + usual * overdueFactor);
     ExchangeResult result = co_await connection->exchange(request, timeout, m_names.requestId);
     held->overdueTimes.erase(overdue);
-    job.presence.whenGone = nullptr;
+    job.presence.onDisconnect = nullptr;
     const Instant endedAt = m_clock.now();
     const Millis took = std::max(Millis(1), endedAt - sentAt);
     job.serverMicros += took.count() * 1000;
@@ -633,7 +633,7 @@
     if (worked) {
         held->recordSuccess();
         held->recordWork(took);
-    } else if (!job.presence.gone) {
+    } else if (!job.presence.disconnected) {
         // Refusals by a full server count as failures, too. Such a server answers at once and has no measured work, so
         // it would look like the fastest one and be chosen again and again, especially while servers are replaced.
         held->recordFailure(endedAt);
@@ -645,8 +645,8 @@
         logRequest(job, "server-replaced", error, id);
         recordServerGone(*held, "another server answers at its address");
     }
-    if (!result.ended)
-        held->pool.giveBack(std::move(connection));
+    if (!result.incomplete)
+        held->pool.returnConnection(std::move(connection));
     if (error == ErrorKind::ServerRefused && result.response.result_int() == misdirected)
         held->refusesKeysUntil = endedAt + keyRefusalDuration;
     if (worked) {
@@ -729,7 +729,7 @@
 void Gateway::recordLostResponse(const Job& job, const std::shared_ptr<Upstream>& server, ErrorKind error)
 {
     // This host cancels an idempotent request when its caller disconnects, which says nothing about the server.
-    const bool endedHere = job.presence.gone && job.route->idempotent();
+    const bool endedHere = job.presence.disconnected && job.route->idempotent();
     if (!mayHaveCrashedServer(error) || endedHere || server->leaving())
         return;
     const Instant now = m_clock.now();
@@ -754,7 +754,7 @@
     if (connection) {
         // The server may have restarted already, or a proxy may accept connections in its place. In these cases only
         // the server's entry shows that it went away.
-        server->pool.giveBack(std::move(connection));
+        server->pool.returnConnection(std::move(connection));
         co_return;
     }
     server->connectFailed();
--- a/packages/routing/Router.cpp
+++ b/packages/routing/Router.cpp
@@ -32,7 +32,7 @@
 
 struct Router::Job {
     CallerRequest& request;
-    CallerPresence& presence;
+    CallerConnection& presence;
     const std::shared_ptr<const Resources> resources; // keeps `service` alive
     const ServiceResource* service = nullptr;
     RouteRule rule;
@@ -103,7 +103,7 @@
             server = std::make_shared<ServerTarget>(m_executor, m_clock, resource, m_options.monitor);
             server->prober
                 = std::make_shared<Prober>(m_executor, m_clock, m_options.host, resource.address, resource.port,
-                    m_options.monitor, server->pool.watch(), [this, name = name] { onReachabilityChange(name); });
+                    m_options.monitor, server->pool.monitor(), [this, name = name] { onReachabilityChange(name); });
             server->prober->start();
         }
         server->pool.update(resource, m_hostCount);
@@ -121,10 +121,10 @@
     if (found == m_servers.end())
         return;
     ServerTarget& server = *found->second;
-    const Reachability reachability = server.pool.watch().reachability();
-    const bool acceptsNewWork = server.pool.watch().acceptsNewWork();
+    const Reachability reachability = server.pool.monitor().reachability();
+    const bool acceptsNewWork = server.pool.monitor().acceptsNewWork();
     if (!acceptsNewWork) {
-        server.pool.dropIdle();
+        server.pool.closeIdleConnections();
         server.pool.evictQueue();
     }
     if (reachability == Reachability::Unresponsive) {
@@ -184,7 +184,7 @@
     if (slice.state == SliceState::Unowned || !route.servers[slice.owner])
         return { ErrorKind::NoOwner, nullptr };
     const auto& owner = route.servers[slice.owner];
-    if (!owner->pool.watch().acceptsNewWork())
+    if (!owner->pool.monitor().acceptsNewWork())
         return { ErrorKind::ServerUnreachable, owner };
     return { ErrorKind::None, owner, slice.fence, slice.begin, route.table->lastPointOf(index),
         route.table->workLimit };
@@ -192,7 +192,7 @@
 
 // --- Requests
 
-BodyRule Router::bodyRule(const CallerHeader& header)
+BodyPolicy Router::bodyPolicy(const CallerHeader& header)
 {
     // Before the configuration arrives no service is known. "Unknown service" would be wrong, and callers wouldn't
     // retry.
@@ -212,7 +212,10 @@
     });
 }
 
-CallerResponse Router::refusal(ErrorKind kind) { return m_errorResponses.make(kind, withJitter(Millis(500)), false); }
+CallerResponse Router::errorResponse(ErrorKind kind)
+{
+    return m_errorResponses.make(kind, withJitter(Millis(500)), false);
+}
 
 ErrorKind Router::prepare(CallerRequest& request, Job& job) const
 {
@@ -240,14 +243,14 @@
     return ErrorKind::None;
 }
 
-asio::awaitable<CallerResponse> Router::handle(CallerRequest& request, CallerPresence& presence)
+asio::awaitable<CallerResponse> Router::handle(CallerRequest& request, CallerConnection& presence)
 {
     Job job { request, presence, m_resources };
     job.arrived = m_clock.now();
     job.arrivedMicros = m_clock.monotonicMicros();
     const ErrorKind fault = prepare(request, job);
     if (fault != ErrorKind::None)
-        co_return refusal(fault);
+        co_return errorResponse(fault);
     m_budgets.at(job.service->name).deposit();
     CallerResponse response = co_await runWithRetries(job);
     const int64_t total = m_clock.monotonicMicros() - job.arrivedMicros;
@@ -267,7 +270,7 @@
         if (error == ErrorKind::None)
             co_return response;
         const bool timeLeft = m_clock.now() < job.deadline;
-        if (!timeLeft || job.presence.gone || !mayRetry(job, error))
+        if (!timeLeft || job.presence.disconnected || !mayRetry(job, error))
             co_return m_errorResponses.make(error, retryAfter(error, job), job.maybeRan);
         if (job.attempts)
             co_await sleepFor(withJitter(retryDelay)); // requests that failed at once shouldn't all retry at once
@@ -304,18 +307,18 @@
     const auto server = destination.server;
     const int64_t queuedAt = m_clock.monotonicMicros();
     const auto admitted = co_await server->pool.admit(job.rule.priority, job.arrived, job.deadline);
-    if (admitted == ServerPool::Admitted::Refused)
+    if (admitted == ServerPool::AdmitResult::Refused)
         co_return ErrorKind::Overloaded;
-    if (admitted == ServerPool::Admitted::TimedOut)
+    if (admitted == ServerPool::AdmitResult::TimedOut)
         co_return ErrorKind::DeadlineBeforeSend;
-    if (admitted == ServerPool::Admitted::Evicted)
+    if (admitted == ServerPool::AdmitResult::Evicted)
         co_return ErrorKind::Moving;
     const int64_t startedAt = m_clock.monotonicMicros();
     if (startedAt - queuedAt > 1000)
         m_spans.add({ { job.trace.traceHigh, job.trace.traceLow, randomNumber() }, job.trace.span, "queue",
             server->pool.server().name, queuedAt, startedAt - queuedAt });
 
-    auto connection = co_await server->pool.take(job.rule.idempotent, connectTimeout);
+    auto connection = co_await server->pool.acquireConnection(job.rule.idempotent, connectTimeout);
     if (!connection) {
         server->pool.release(job.rule.priority, Millis(0));
         co_await m_routingChanged.wait(unreachableRetryDelay);
@@ -332,9 +335,9 @@
     // unknown`. Failing now reports with certainty that it did not run.
     const Millis minimumTime = server->pool.admission().meanWork(job.rule.priority) / 2;
     const bool tooLate = m_clock.now() + minimumTime >= job.deadline;
-    if (destination.error != ErrorKind::None || destination.server != server || tooLate || job.presence.gone) {
+    if (destination.error != ErrorKind::None || destination.server != server || tooLate || job.presence.disconnected) {
         server->pool.release(job.rule.priority, Millis(0));
-        server->pool.giveBack(std::move(connection));
+        server->pool.returnConnection(std::move(connection));
         co_return destination.error != ErrorKind::None ? destination.error
             : destination.server != server             ? ErrorKind::Moving
                                                        : ErrorKind::DeadlineBeforeSend;
@@ -346,11 +349,11 @@
         job.maybeRan = true;
         co_return result.error;
     }
-    const bool wasBlocked = !server->pool.watch().acceptsNewWork();
-    server->pool.watch().answered(m_clock.now());
+    const bool wasBlocked = !server->pool.monitor().acceptsNewWork();
+    server->pool.monitor().answered(m_clock.now());
     if (wasBlocked)
         m_routingChanged.notifyAll();
-    server->pool.giveBack(std::move(connection));
+    server->pool.returnConnection(std::move(connection));
     recordLoad(job, tookMicros);
     if (result.response.result() == http::status::service_unavailable && result.response[ranHeader] == "no")
         co_return ErrorKind::ServerRefused;
@@ -389,17 +392,17 @@
     const int64_t sentAt = m_clock.monotonicMicros();
     if (job.rule.idempotent) {
         destination.server->abandonable.emplace(&connection, now);
-        job.presence.whenGone = [&connection] { connection.abandon(); };
+        job.presence.onDisconnect = [&connection] { connection.cancelExchange(); };
     }
     ExchangeResult result = co_await connection.exchange(request, timeout);
     destination.server->abandonable.erase(&connection);
-    job.presence.whenGone = nullptr;
+    job.presence.onDisconnect = nullptr;
     const int64_t tookMicros = m_clock.monotonicMicros() - sentAt;
     job.serverMicros += tookMicros;
-    if (result.ended) {
+    if (result.incomplete) {
         m_inFlight.connectionEnded(id);
         // The prober may have detected refused connections before this connection ended.
-        if (destination.server->pool.watch().reachability() == Reachability::Refused)
+        if (destination.server->pool.monitor().reachability() == Reachability::Refused)
             m_inFlight.serverGone(server.name);
     } else
         m_inFlight.answered(id);
@@ -435,7 +438,7 @@
         slot = std::make_shared<ServerPool>(m_executor, m_clock, target, m_options.monitor);
     }
     const auto pool = slot;
-    auto connection = co_await pool->take(job.rule.idempotent, connectTimeout);
+    auto connection = co_await pool->acquireConnection(job.rule.idempotent, connectTimeout);
     const Millis remaining = job.deadline - m_clock.now();
     if (!connection || remaining.count() <= 0) {
         co_await m_routingChanged.wait(unreachableRetryDelay);
@@ -456,7 +459,7 @@
         job.maybeRan = true;
         co_return result.error;
     }
-    pool->giveBack(std::move(connection));
+    pool->returnConnection(std::move(connection));
     response = std::move(result.response);
     co_return ErrorKind::None;
 }
@@ -504,7 +507,7 @@
             report.busy.push_back(std::move(busy));
     }
     for (const auto& [name, server] : m_servers)
-        report.sights[name] = server->pool.watch().reachability();
+        report.sights[name] = server->pool.monitor().reachability();
     return report;
 }
 
--- a/packages/routing/Router.h
+++ b/packages/routing/Router.h
@@ -40,9 +40,9 @@
     void start(); // starts the periodic reports
 
     // --- From callers
-    BodyRule bodyRule(const CallerHeader&) override;
-    boost::asio::awaitable<CallerResponse> handle(CallerRequest&, CallerPresence&) override;
-    CallerResponse refusal(ErrorKind) override;
+    BodyPolicy bodyPolicy(const CallerHeader&) override;
+    boost::asio::awaitable<CallerResponse> handle(CallerRequest&, CallerConnection&) override;
+    CallerResponse errorResponse(ErrorKind) override;
     bool ready() const override;
 
 private:
--- a/packages/routing/ServiceRoute.cpp
+++ b/packages/routing/ServiceRoute.cpp
@@ -26,7 +26,7 @@
 {
     for (const auto& [connection, startedAt] : abandonable) {
         if (startedAt < limit)
-            connection->abandon();
+            connection->cancelExchange();
     }
 }
 
