--- a/packages/decisions/DeadlineQueue.h
+++ b/packages/decisions/DeadlineQueue.h
@@ -82,7 +82,7 @@
     Millis m_permitInterval { 0 }; // approximate time between two permits
     unsigned m_inFlight = 0;
     WaitingList m_waiting; // in order of requestSlot() calls
-    std::vector<TicketId> m_shed; // removed from m_waiting, not yet returned by takeShed()
+    std::vector<TicketId> m_shed; // removed from m_waiters, not yet returned by takeShed()
     std::array<double, priorityClassCount> m_meanMillis {}; // 0: no request has ended yet
     Instant m_lastProgress {}; // the last answer, or the first start after an idle period
     unsigned m_startCount = 0;
