--- a/apps/cumindalectl/Commands.cpp
+++ b/apps/cumindalectl/Commands.cpp
@@ -164,7 +164,7 @@
     int applyOne(const CommandOptions& options, const std::string& text)
     {
         ResourceDocument document;
-        const auto fault = faultIn([&]() -> boost::leaf::result<void> {
+        const auto fault = fieldErrorOf([&]() -> boost::leaf::result<void> {
             BOOST_LEAF_ASSIGN(document, parseDocument(text));
             return {};
         });
@@ -192,7 +192,7 @@
                 return ExitUsage;
             }
         }
-        FieldFault fault;
+        FieldError fault;
         const json::object object = parseObject(text.str(), fault);
         if (fault.any()) {
             std::cerr << "cumindalectl: " << options.file << ": " << fault.text() << '\n';
--- a/apps/cumindaled/GatewayHost.cpp
+++ b/apps/cumindaled/GatewayHost.cpp
@@ -109,7 +109,7 @@
             const std::string& token = m_settings.host.operatorToken;
             if (!token.empty() && request[boost::beast::http::field::authorization] != "Bearer " + token)
                 co_return makeResponse(401, "{\"error\":\"the operators' token is needed\"}\n");
-            const auto fingerprint = fingerprintIn(target.parameter("request"));
+            const auto fingerprint = parseFingerprint(target.parameter("request"));
             if (request.method() != boost::beast::http::verb::delete_ || !fingerprint)
                 co_return makeResponse(400, "{\"error\":\"request: 16 hexadecimal digits\"}\n");
             asio::post(m_control, [this, fingerprint] { m_controlDuty.releaseFromQuarantine(*fingerprint); });
@@ -166,7 +166,7 @@
         asio::awaitable<void> drain()
         {
             constexpr Millis beforeTheEnd { 500 }; // it is killed then; the last lines must be out
-            const Instant until = m_clock.now() + m_settings.gateway->grace - beforeTheEnd;
+            const Instant until = m_clock.now() + m_settings.gateway->shutdownGrace - beforeTheEnd;
             asio::co_spawn(m_control, m_controlDuty.leave(until), [this](std::exception_ptr) { m_left = true; });
             co_await finishCallers(m_callers, gatewayDrain);
             constexpr Millis look { 20 };
--- a/apps/cumindaled/Host.cpp
+++ b/apps/cumindaled/Host.cpp
@@ -30,7 +30,7 @@
         RouterOptions options;
         options.host = settings.host.name;
         options.maxKeyBytes = settings.limits.keyBytes;
-        options.monitor.probeInterval = settings.timing.probe;
+        options.monitor.probeInterval = settings.timing.probeInterval;
         options.monitor.probeTimeout = settings.timing.probeTimeout;
         return options;
     }
--- a/apps/cumindaled/main.cpp
+++ b/apps/cumindaled/main.cpp
@@ -47,7 +47,7 @@
         return badUsage;
     }
     cumindale::Settings settings;
-    const auto fault = cumindale::faultIn([&]() -> boost::leaf::result<void> {
+    const auto fault = cumindale::fieldErrorOf([&]() -> boost::leaf::result<void> {
         BOOST_LEAF_ASSIGN(settings, cumindale::parseSettings(text.str()));
         return {};
     });
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -244,7 +244,7 @@
     document.name = "server-" + std::to_string(100'000 + i);
     document.spec = { { "service", "tracing" }, { "address", "10.0.0.1" }, { "port", 7200 }, { "dataCentre", "dc-1" },
         { "slots", 4 }, { "connections", 120 } };
-    return storedText({ document, "0123456789abcdef" });
+    return encodeStoredResource({ document, "0123456789abcdef" });
 }
 
 void configurationChange(benchmark::State& state) // by declared servers: one change reaches a host
--- a/packages/control/AssignerDriver.cpp
+++ b/packages/control/AssignerDriver.cpp
@@ -242,7 +242,7 @@
     for (const auto& member : m_view.roster()->members)
         view.allHostsAnswer = view.allHostsAnswer
             && (member.name == m_settings.host.name
-                || m_mesh.heardSince(member.name, now - m_settings.timing.beat * 2));
+                || m_mesh.heardSince(member.name, now - m_settings.timing.heartbeatInterval * 2));
     if (table.version) {
         view.placement.sliceLoad = m_loadAggregator.sliceLoad(table, now);
         view.placement.hotKeys = m_loadAggregator.hotKeys(table);
--- a/packages/control/ClusterView.cpp
+++ b/packages/control/ClusterView.cpp
@@ -111,7 +111,7 @@
             change.tables.insert(name);
         return;
     }
-    if (!isKind(kindOf(value.key)))
+    if (!isKind(kindOfKey(value.key)))
         return;
     Document& document = m_documents[value.key];
     if (value.modRevision <= document.modRevision)
@@ -129,7 +129,7 @@
         change.leader = true;
         return;
     }
-    if (!isKind(kindOf(key)))
+    if (!isKind(kindOfKey(key)))
         return;
     // The tombstone is kept even if this host never had the resource. Otherwise a peer with the tombstone would always
     // report a higher resource revision than this host, and this host would fetch its resources again and again.
@@ -174,8 +174,8 @@
         if (document.erased)
             continue;
         const auto fault
-            = faultIn([&, &text = document.text, revision = document.modRevision]() -> boost::leaf::result<void> {
-                  BOOST_LEAF_AUTO(stored, parseStored(text));
+            = fieldErrorOf([&, &text = document.text, revision = document.modRevision]() -> boost::leaf::result<void> {
+                  BOOST_LEAF_AUTO(stored, parseStoredResource(text));
                   entries->push_back({ stored.document.kind, stored.document.name, revision, text });
                   return addToResources(*resources, stored.document);
               });
@@ -219,14 +219,14 @@
 ViewChange ClusterView::applyPeerResources(std::string_view text)
 {
     ViewChange change;
-    FieldFault fault;
+    FieldError fault;
     const json::object object = parseObject(text, fault);
     FieldReader reader(object, {}, fault);
     for (const auto* item : reader.objects("documents")) {
         FieldReader document(*item, "documents", fault);
         KeyValue value;
         value.key = document.text("key", true, {}, 1024);
-        value.modRevision = document.requiredNumber("modRevision", 1, INT64_MAX);
+        value.modRevision = document.requiredInteger("modRevision", 1, INT64_MAX);
         value.value = document.text("text", false, {}, 1'000'000);
         const bool erased = document.flag("erased", false);
         if (fault.any())
--- a/packages/control/Control.cpp
+++ b/packages/control/Control.cpp
@@ -219,7 +219,7 @@
     if (assigner)
         wanted[assigner->name] = *assigner;
 
-    const Instant recently = m_clock.now() - m_settings.timing.beat * 3 / 2;
+    const Instant recently = m_clock.now() - m_settings.timing.heartbeatInterval * 3 / 2;
     const size_t count = roster.members.size();
     const auto self = std::find_if(roster.members.begin(), roster.members.end(),
         [this](const Member& member) { return member.name == m_settings.host.name; });
--- a/packages/control/LeaderSource.cpp
+++ b/packages/control/LeaderSource.cpp
@@ -20,7 +20,7 @@
 
 LeaderView decodeLeader(std::string_view text, int64_t modRevision)
 {
-    FieldFault fault;
+    FieldError fault;
     const json::object object = parseObject(text, fault);
     FieldReader reader(object, {}, fault);
     LeaderView leader { reader.text("host", true), reader.text("nonce", true), reader.text("address", false),
--- a/packages/control/PeerMesh.cpp
+++ b/packages/control/PeerMesh.cpp
@@ -135,7 +135,7 @@
             peer.ackedSequence = 0;
         }
         if (sentSequence == m_sequence)
-            co_await m_stateChanged.wait(m_settings.timing.beat);
+            co_await m_stateChanged.wait(m_settings.timing.heartbeatInterval);
         else
             co_await sleepFor(Millis(5)); // the state changed meanwhile: send it soon, several changes at a time
     }
--- a/packages/control/StoreFollower.cpp
+++ b/packages/control/StoreFollower.cpp
@@ -88,7 +88,7 @@
         backoff = minBackoff;
         m_watches.add();
         const Instant startedAt = m_clock.now();
-        co_await m_store.watch(std::string(storePrefix), m_view.revision() + 1, m_settings.timing.reread,
+        co_await m_store.watch(std::string(storePrefix), m_view.revision() + 1, m_settings.timing.rereadInterval,
             [this](int64_t revision, const std::vector<WatchEvent>& events) { return onEvents(revision, events); });
         // Keeps a watch that ends at once from causing a busy loop of reads.
         if (m_clock.now() - startedAt < minBackoff)
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -755,7 +755,7 @@
         quarantined.push_back(static_cast<int64_t>(request.request));
     for (const auto& event : m_crashes.takeEvents())
         logChange(LogLevel::Warning, toString(event.kind),
-            { { "fingerprint", fingerprintText(event.request) }, { "crashes", event.crashes },
+            { { "fingerprint", formatFingerprint(event.request) }, { "crashes", event.crashes },
                 { "server", event.server }, { "reporter", reporter } });
     if (m_publishedCrashesEdition && suspects == m_publishedSuspects && quarantined == m_publishedQuarantined)
         return;
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -173,7 +173,7 @@
         const auto cleared
             = m_crashes.applyCoordinatorUpdate(update.crashes->suspects, update.crashes->quarantined, m_clock.now());
         for (const Fingerprint request : cleared)
-            logChange(LogLevel::Info, "suspect-answered", { { "fingerprint", fingerprintText(request) } });
+            logChange(LogLevel::Info, "suspect-answered", { { "fingerprint", formatFingerprint(request) } });
         if (!cleared.empty())
             reportEarly();
     }
@@ -419,11 +419,11 @@
     // requests after its time limit.
     const Instant now = m_clock.now();
     const auto overdue = [&](Instant since, Millis within) { return now - since > within - leaveMargin; };
-    const bool leaving = upstream->entry.leaving && overdue(upstream->leavingSince, m_options.settings.leaveWithin);
+    const bool leaving = upstream->entry.leaving && overdue(upstream->leavingSince, m_options.settings.leaveTimeout);
     const bool announced = upstream->announcedLeaving()
-        && now - upstream->announcedLeavingSince() > m_options.settings.leaveWithin - announcedLeaveMargin;
+        && now - upstream->announcedLeavingSince() > m_options.settings.leaveTimeout - announcedLeaveMargin;
     const bool evacuated
-        = upstream->entry.evacuated && overdue(upstream->evacuatedSince, m_options.settings.evacuateWithin);
+        = upstream->entry.evacuated && overdue(upstream->evacuatedSince, m_options.settings.evacuationTimeout);
     if (leaving || announced || evacuated)
         return { ErrorKind::NoOwner, nullptr, false };
     if (range->moving() && now < upstream->refusesKeysUntil)
@@ -773,7 +773,7 @@
         return;
     boost::json::array fingerprints;
     for (const Fingerprint request : requests)
-        fingerprints.emplace_back(fingerprintText(request));
+        fingerprints.emplace_back(formatFingerprint(request));
     logChange(LogLevel::Warning, "server-crashed",
         { { "server", server.entry.id }, { "service", server.entry.service }, { "why", why },
             { "requests", std::move(fingerprints) } });
@@ -938,7 +938,7 @@
     line["rules"] = job.rules ? job.rules->version : 0;
     line["edition"] = table == m_tables.end() ? 0 : table->second->edition.edition;
     if (error == ErrorKind::Quarantined || mayHaveCrashedServer(error))
-        line["fingerprint"] = fingerprintText(relevantFingerprint(job));
+        line["fingerprint"] = formatFingerprint(relevantFingerprint(job));
     line["leftOut"] = std::exchange(m_droppedLogLines, 0);
     logChange(LogLevel::Info, event, std::move(line));
 }
--- a/packages/gateway/GatewayControl.cpp
+++ b/packages/gateway/GatewayControl.cpp
@@ -29,13 +29,13 @@
 
     int32_t toCenti(double value) { return static_cast<int32_t>(std::lround(value * centi)); }
 
-    Millis leaseOf(const GatewaySettings& gateway) { return std::max(gateway.leaderLease, gateway.shortestLease); }
+    Millis leaseOf(const GatewaySettings& gateway) { return std::max(gateway.leaderLease, gateway.minStoreLease); }
 
     CoordinatorOptions coordinatorOptions(const Settings& settings)
     {
         CoordinatorOptions options;
         options.host = settings.host.name;
-        options.grants.leaseDuration = std::min(settings.gateway->longestHold, options.grants.leaseDuration);
+        options.grants.leaseDuration = std::min(settings.gateway->maxGrantHold, options.grants.leaseDuration);
         // The election, the leadership rules and the grant plans must use the same values: a coordinator that acted
         // beyond its lease, or for longer than its successor waits, could leave a key with two holders.
         options.leadership.lease = leaseOf(*settings.gateway);
@@ -395,7 +395,7 @@
 
 void GatewayControl::releaseFromQuarantine(Fingerprint request)
 {
-    logChange(LogLevel::Info, "quarantine-release-asked", { { "fingerprint", fingerprintText(request) } });
+    logChange(LogLevel::Info, "quarantine-release-asked", { { "fingerprint", formatFingerprint(request) } });
     m_unreportedReleases.push_back(request);
 }
 
@@ -403,10 +403,10 @@
 {
     json::array requests;
     for (const Fingerprint request : m_crashNews ? m_crashNews->quarantined : std::set<Fingerprint> {})
-        requests.emplace_back(fingerprintText(request));
+        requests.emplace_back(formatFingerprint(request));
     json::array suspects;
     for (const Fingerprint request : m_crashNews ? m_crashNews->suspects : std::set<Fingerprint> {})
-        suspects.emplace_back(fingerprintText(request));
+        suspects.emplace_back(formatFingerprint(request));
     return json::serialize(json::object { { "quarantined", requests }, { "suspects", suspects } }) + "\n";
 }
 
--- a/packages/gateway/PlatformAdapter.h
+++ b/packages/gateway/PlatformAdapter.h
@@ -40,7 +40,7 @@
 // The operators' configuration document, as far as this version understands it.
 struct ParsedRules {
     RouteRules rules;
-    std::vector<FieldFault> problems; // one for each part that was ignored, or read in its strictest meaning
+    std::vector<FieldError> problems; // one for each part that was ignored, or read in its strictest meaning
 };
 
 class PlatformAdapter {
@@ -56,7 +56,7 @@
     virtual StoreItem itemOf(std::string_view key) const = 0;
     virtual std::string serverNameIn(std::string_view key) const = 0;
     virtual std::string dataCentreIn(std::string_view key) const = 0; // of an evacuation
-    // Each fails with a FieldFault: parseRules() if the text is no valid document, parseServer() if the entry describes
+    // Each fails with a FieldError: parseRules() if the text is no valid document, parseServer() if the entry describes
     // no usable server.
     virtual boost::leaf::result<ParsedRules> parseRules(std::string_view text) const = 0;
     virtual boost::leaf::result<RegisteredServer> parseServer(std::string_view name, std::string_view text) const = 0;
--- a/packages/gateway/PlatformView.cpp
+++ b/packages/gateway/PlatformView.cpp
@@ -23,7 +23,7 @@
     // A document of a later version may have the same unknown field in each of some thousand routes.
     constexpr size_t maxRulesWarnings = 32;
 
-    void logRulesWarnings(const std::vector<FieldFault>& oddities, int64_t version)
+    void logRulesWarnings(const std::vector<FieldError>& oddities, int64_t version)
     {
         const size_t logged = std::min(oddities.size(), maxRulesWarnings);
         for (size_t i = 0; i < logged; ++i)
@@ -210,7 +210,7 @@
         return;
     m_rulesRevision = value.modRevision;
     ParsedRules reading;
-    const auto fault = faultIn([&]() -> boost::leaf::result<void> {
+    const auto fault = fieldErrorOf([&]() -> boost::leaf::result<void> {
         BOOST_LEAF_ASSIGN(reading, m_adapter.parseRules(value.value));
         return {};
     });
@@ -253,7 +253,7 @@
         return;
     entry.revision = value.modRevision;
     RegisteredServer server;
-    const auto fault = faultIn([&]() -> boost::leaf::result<void> {
+    const auto fault = fieldErrorOf([&]() -> boost::leaf::result<void> {
         BOOST_LEAF_ASSIGN(server, m_adapter.parseServer(name, value.value));
         return {};
     });
--- a/packages/operators/AdminServer.cpp
+++ b/packages/operators/AdminServer.cpp
@@ -59,7 +59,7 @@
         for (const auto& entry : entries) {
             if (!kind.empty() && kind != entry.kind)
                 continue;
-            FieldFault none; // it was parsed before it came here
+            FieldError none; // it was parsed before it came here
             json::object object = parseObject(entry.text, none);
             object.erase("operationId");
             object["revision"] = entry.revision;
@@ -158,7 +158,7 @@
             400, "bad-parameter", "operationId: required, 1 to 64 characters, the same for a repeated try");
     if (!erase) {
         const ResourceDocument named = order.document;
-        const auto fault = faultIn([&]() -> boost::leaf::result<void> {
+        const auto fault = fieldErrorOf([&]() -> boost::leaf::result<void> {
             BOOST_LEAF_ASSIGN(order.document, parseDocument(request.body()));
             return {};
         });
--- a/packages/operators/ResourceWriter.cpp
+++ b/packages/operators/ResourceWriter.cpp
@@ -50,8 +50,8 @@
             }
             snapshot.documents[value.key] = value;
             // A faulty value, written past this API, must not block all others; hosts refuse and report it.
-            faultIn([&]() -> boost::leaf::result<void> {
-                BOOST_LEAF_AUTO(stored, parseStored(value.value));
+            fieldErrorOf([&]() -> boost::leaf::result<void> {
+                BOOST_LEAF_AUTO(stored, parseStoredResource(value.value));
                 return addToResources(snapshot.resources, stored.document);
             });
         }
@@ -85,9 +85,9 @@
             resources.evacuations.erase(document.name);
     }
 
-    std::optional<FieldFault> faultAfter(Resources resources, const WriteOrder& order)
+    std::optional<FieldError> faultAfter(Resources resources, const WriteOrder& order)
     {
-        return faultIn([&]() -> boost::leaf::result<void> {
+        return fieldErrorOf([&]() -> boost::leaf::result<void> {
             if (order.erase)
                 erase(resources, order.document);
             else
@@ -106,7 +106,8 @@
 
     std::vector<WriteOperation> writesFor(const std::string& key, const WriteOrder& order, const Snapshot& snapshot)
     {
-        const std::string document = order.erase ? std::string() : storedText({ order.document, order.operationId });
+        const std::string document
+            = order.erase ? std::string() : encodeStoredResource({ order.document, order.operationId });
         return { { key, document, order.erase }, { guardKey(), guardText(snapshot.operations, order.operationId) } };
     }
 
--- a/packages/operators/ResourceWriter.h
+++ b/packages/operators/ResourceWriter.h
@@ -25,7 +25,7 @@
 struct WriteResult {
     WriteOutcome outcome = WriteOutcome::StoreUnavailable;
     int64_t revision = 0; // committed: of the write; conflict: the current one, 0 if absent
-    FieldFault fault; // for Invalid
+    FieldError fault; // for Invalid
 };
 
 struct WriteOrder {
--- a/packages/resources/FieldReader.cpp
+++ b/packages/resources/FieldReader.cpp
@@ -9,10 +9,10 @@
 
 namespace json = boost::json;
 
-FieldReader::FieldReader(const json::object& object, std::string path, FieldFault& fault)
+FieldReader::FieldReader(const json::object& object, std::string path, FieldError& fieldError)
     : m_object(object)
     , m_path(std::move(path))
-    , m_fault(fault)
+    , m_error(fieldError)
 {
 }
 
@@ -23,36 +23,36 @@
 
 void FieldReader::fail(std::string_view name, std::string allowed)
 {
-    if (!m_fault.any())
-        m_fault = { pathOf(name), std::move(allowed) };
+    if (!m_error.any())
+        m_error = { pathOf(name), std::move(allowed) };
 }
 
 const json::value* FieldReader::find(std::string_view name)
 {
-    m_known.insert(std::string(name));
+    m_readNames.insert(std::string(name));
     const json::value* value = m_object.if_contains(name);
     return value && value->is_null() ? nullptr : value;
 }
 
-std::optional<std::string> FieldReader::textIfAny(std::string_view name)
+std::optional<std::string> FieldReader::optionalText(std::string_view name)
 {
     const json::value* value = find(name);
     const auto* found = value ? value->if_string() : nullptr;
     return found ? std::optional<std::string>(std::in_place, *found) : std::nullopt;
 }
 
-std::string FieldReader::text(std::string_view name, bool required, std::string_view otherwise, size_t longest)
+std::string FieldReader::text(std::string_view name, bool required, std::string_view defaultValue, size_t maxLength)
 {
     const json::value* value = find(name);
     if (!value) {
         if (required)
             fail(name, "required, a text");
-        return std::string(otherwise);
+        return std::string(defaultValue);
     }
     const auto* found = value->if_string();
-    if (!found || found->size() > longest || (required && found->empty())) {
-        fail(name, "a text of at most " + std::to_string(longest) + " characters");
-        return std::string(otherwise);
+    if (!found || found->size() > maxLength || (required && found->empty())) {
+        fail(name, "a text of at most " + std::to_string(maxLength) + " characters");
+        return std::string(defaultValue);
     }
     const bool printable
         = std::all_of(found->begin(), found->end(), [](unsigned char c) { return c >= 0x20 && c != 0x7f; });
@@ -62,21 +62,21 @@
 }
 
 std::string FieldReader::oneOf(
-    std::string_view name, const std::vector<std::string_view>& allowed, std::string_view otherwise)
+    std::string_view name, const std::vector<std::string_view>& allowed, std::string_view defaultValue)
 {
-    std::string found = text(name, otherwise.empty(), otherwise);
+    std::string found = text(name, defaultValue.empty(), defaultValue);
     if (std::find(allowed.begin(), allowed.end(), found) != allowed.end())
         return found;
     std::string list;
     for (const auto choice : allowed)
         list += (list.empty() ? "one of " : ", ") + std::string(choice);
     fail(name, list);
-    return std::string(otherwise);
+    return std::string(defaultValue);
 }
 
-std::string FieldReader::address(std::string_view name, std::string_view otherwise)
+std::string FieldReader::address(std::string_view name, std::string_view defaultValue)
 {
-    std::string found = text(name, otherwise.empty(), otherwise);
+    std::string found = text(name, defaultValue.empty(), defaultValue);
     boost::system::error_code error;
     boost::asio::ip::make_address(found, error);
     if (error)
@@ -84,57 +84,57 @@
     return found;
 }
 
-int64_t FieldReader::number(std::string_view name, int64_t least, int64_t most, int64_t otherwise)
+int64_t FieldReader::integer(std::string_view name, int64_t minimum, int64_t maximum, int64_t defaultValue)
 {
     const json::value* value = find(name);
     if (!value)
-        return otherwise;
+        return defaultValue;
     boost::system::error_code error;
-    const bool whole = value->is_int64() || value->is_uint64();
-    const auto found = whole ? value->to_number<int64_t>(error) : 0;
-    if (!whole || error || found < least || found > most) {
-        fail(name, "a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-        return otherwise;
+    const bool isInteger = value->is_int64() || value->is_uint64();
+    const auto found = isInteger ? value->to_number<int64_t>(error) : 0;
+    if (!isInteger || error || found < minimum || found > maximum) {
+        fail(name, "a whole number from " + std::to_string(minimum) + " to " + std::to_string(maximum));
+        return defaultValue;
     }
     return found;
 }
 
-int64_t FieldReader::requiredNumber(std::string_view name, int64_t least, int64_t most)
+int64_t FieldReader::requiredInteger(std::string_view name, int64_t minimum, int64_t maximum)
 {
     if (!find(name))
-        fail(name, "required, a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-    return number(name, least, most, least);
+        fail(name, "required, a whole number from " + std::to_string(minimum) + " to " + std::to_string(maximum));
+    return integer(name, minimum, maximum, minimum);
 }
 
-double FieldReader::ratio(std::string_view name, double least, double most, double otherwise)
+double FieldReader::real(std::string_view name, double minimum, double maximum, double defaultValue)
 {
     const json::value* value = find(name);
     if (!value)
-        return otherwise;
+        return defaultValue;
     boost::system::error_code error;
-    const double found = value->is_number() ? value->to_number<double>(error) : least - 1;
-    if (error || !(found >= least && found <= most)) {
-        fail(name, "a number from " + std::to_string(least) + " to " + std::to_string(most));
-        return otherwise;
+    const double found = value->is_number() ? value->to_number<double>(error) : minimum - 1;
+    if (error || !(found >= minimum && found <= maximum)) {
+        fail(name, "a number from " + std::to_string(minimum) + " to " + std::to_string(maximum));
+        return defaultValue;
     }
     return found;
 }
 
-double FieldReader::requiredRatio(std::string_view name, double least, double most)
+double FieldReader::requiredReal(std::string_view name, double minimum, double maximum)
 {
     if (!find(name))
-        fail(name, "required, a number from " + std::to_string(least) + " to " + std::to_string(most));
-    return ratio(name, least, most, least);
+        fail(name, "required, a number from " + std::to_string(minimum) + " to " + std::to_string(maximum));
+    return real(name, minimum, maximum, minimum);
 }
 
-bool FieldReader::flag(std::string_view name, bool otherwise)
+bool FieldReader::flag(std::string_view name, bool defaultValue)
 {
     const json::value* value = find(name);
     if (!value)
-        return otherwise;
+        return defaultValue;
     if (!value->is_bool()) {
         fail(name, "true or false");
-        return otherwise;
+        return defaultValue;
     }
     return value->get_bool();
 }
@@ -191,12 +191,12 @@
 void FieldReader::finish()
 {
     for (const auto& field : m_object) {
-        if (!m_known.count(std::string_view(field.key())))
+        if (!m_readNames.count(std::string_view(field.key())))
             fail(std::string_view(field.key()), "unknown field; remove it or mend its spelling");
     }
 }
 
-json::object parseObject(std::string_view text, FieldFault& fault)
+json::object parseObject(std::string_view text, FieldError& fieldError)
 {
     json::parse_options options;
     options.allow_comments = true;
@@ -208,14 +208,14 @@
         parser.finish(error);
     if (error || used != text.size()) {
         const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<ptrdiff_t>(used), '\n');
-        fault = { {},
+        fieldError = { {},
             "not JSON (comments are allowed): line " + std::to_string(line) + ", "
                 + (error ? error.message() : std::string("text after the end")) };
         return {};
     }
     const json::value value = parser.release();
     if (!value.is_object()) {
-        fault = { {}, "must be one JSON object" };
+        fieldError = { {}, "must be one JSON object" };
         return {};
     }
     return value.get_object();
--- a/packages/resources/GrantTableCodec.cpp
+++ b/packages/resources/GrantTableCodec.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-    constexpr size_t steadyFields = 4;
-    constexpr size_t movingFields = 7;
+    constexpr size_t stableRangeFields = 4;
+    constexpr size_t movingRangeFields = 7;
 
     const std::string& prefix()
     {
@@ -37,10 +37,10 @@
         range.last = fields.at(1).to_number<uint32_t>();
         range.holder = fields.at(2).as_string();
         range.fence = fields.at(3).to_number<uint64_t>();
-        if (fields.size() >= movingFields) {
-            range.next = fields.at(steadyFields).as_string();
-            range.nextFence = fields.at(steadyFields + 1).to_number<uint64_t>();
-            const auto state = fields.at(steadyFields + 2).to_number<unsigned>();
+        if (fields.size() >= movingRangeFields) {
+            range.next = fields.at(stableRangeFields).as_string();
+            range.nextFence = fields.at(stableRangeFields + 1).to_number<uint64_t>();
+            const auto state = fields.at(stableRangeFields + 2).to_number<unsigned>();
             if (state > static_cast<unsigned>(HolderState::Unreachable))
                 throw std::out_of_range("holder state");
             range.holderState = static_cast<HolderState>(state);
--- a/packages/resources/QuarantineCodec.cpp
+++ b/packages/resources/QuarantineCodec.cpp
@@ -13,9 +13,9 @@
 
 std::string quarantineKey() { return std::string(storePrefix) + "quarantine"; }
 
-std::string fingerprintText(Fingerprint request) { return pointText(request); }
+std::string formatFingerprint(Fingerprint request) { return pointText(request); }
 
-std::optional<Fingerprint> fingerprintIn(std::string_view text)
+std::optional<Fingerprint> parseFingerprint(std::string_view text)
 {
     constexpr int hexadecimal = 16;
     Fingerprint request = 0;
@@ -30,7 +30,7 @@
     json::array entries;
     for (const auto& request : requests) {
         json::object entry;
-        entry["request"] = fingerprintText(request.request);
+        entry["request"] = formatFingerprint(request.request);
         entry["crashes"] = request.crashes;
         entry["since"] = unixMillis - (now - request.since).count();
         entry["until"] = unixMillis + (request.until - now).count();
@@ -50,7 +50,7 @@
     for (const auto& item : isList ? value.get_array() : json::array {}) {
         try {
             const json::object& entry = item.as_object();
-            const auto request = fingerprintIn(std::string_view(entry.at("request").as_string()));
+            const auto request = parseFingerprint(std::string_view(entry.at("request").as_string()));
             if (!request)
                 throw std::invalid_argument("no fingerprint");
             const Millis since(unixMillis - entry.at("since").to_number<int64_t>());
--- a/packages/resources/QuarantineCodec.h
+++ b/packages/resources/QuarantineCodec.h
@@ -18,7 +18,7 @@
 // What can't be read is left out, with a line.
 std::vector<QuarantinedRequest> decodeQuarantine(std::string_view text, Instant now, int64_t unixMillis);
 
-std::string fingerprintText(Fingerprint); // 16 hexadecimal digits
-std::optional<Fingerprint> fingerprintIn(std::string_view text);
+std::string formatFingerprint(Fingerprint); // 16 hexadecimal digits
+std::optional<Fingerprint> parseFingerprint(std::string_view text);
 
 }
--- a/packages/resources/ResourceCodec.cpp
+++ b/packages/resources/ResourceCodec.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-    constexpr int64_t longestDeadlineMillis = 600'000;
-    constexpr int64_t mostSlots = 100'000;
-    constexpr int64_t mostConnections = 1'000'000;
-    constexpr int64_t largestBodyAllowed = 64'000'000;
-    constexpr size_t longestNameLength = 63;
+    constexpr int64_t maxDeadlineMillis = 600'000;
+    constexpr int64_t maxSlots = 100'000;
+    constexpr int64_t maxConnections = 1'000'000;
+    constexpr int64_t maxBodyBytes = 64'000'000;
+    constexpr size_t maxNameLength = 63;
 
     // --- Names
 
     // Letters, digits, '-', '_' and '.', so that a name is safe in a path, a header and a store key.
     bool isName(std::string_view name)
     {
-        if (name.empty() || name.size() > longestNameLength)
+        if (name.empty() || name.size() > maxNameLength)
             return false;
         return std::all_of(name.begin(), name.end(),
             [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_' || c == '.'; });
@@ -33,9 +33,9 @@
 
     // --- Services
 
-    RouteRule readRoute(const json::object& object, const std::string& path, FieldFault& fault)
+    RouteRule readRoute(const json::object& object, const std::string& path, FieldError& fieldError)
     {
-        FieldReader reader(object, path, fault);
+        FieldReader reader(object, path, fieldError);
         RouteRule rule;
         rule.method = reader.text("method", false);
         rule.pathPrefix = reader.text("pathPrefix", false, {}, 1024);
@@ -43,23 +43,23 @@
         const std::vector<std::string_view> classes { "interactive", "submission", "upload", "background" };
         const std::string name = reader.oneOf("class", classes, "interactive");
         rule.priority = static_cast<PriorityClass>(std::find(classes.begin(), classes.end(), name) - classes.begin());
-        rule.deadline = Millis(reader.number("deadlineMs", 10, longestDeadlineMillis, 1000));
+        rule.deadline = Millis(reader.integer("deadlineMs", 10, maxDeadlineMillis, 1000));
         reader.finish();
         return rule;
     }
 
-    ServiceResource readService(const std::string& name, const json::object& spec, FieldFault& fault)
+    ServiceResource readService(const std::string& name, const json::object& spec, FieldError& fieldError)
     {
-        FieldReader reader(spec, "spec", fault);
+        FieldReader reader(spec, "spec", fieldError);
         ServiceResource service;
         service.name = name;
         service.pathPrefix = reader.text("pathPrefix", true, {}, 1024);
         if (!service.pathPrefix.starts_with('/') || !service.pathPrefix.ends_with('/'))
             reader.fail("pathPrefix", "a path that begins and ends with '/', as \"/tracing/\"");
         if (const auto* key = reader.object("key", true)) {
-            FieldReader keyReader(*key, reader.pathOf("key"), fault);
+            FieldReader keyReader(*key, reader.pathOf("key"), fieldError);
             service.keyHeader = keyReader.text("header", false);
-            service.keySegment = static_cast<unsigned>(keyReader.number("pathSegment", 0, 32, 0));
+            service.keySegment = static_cast<unsigned>(keyReader.integer("pathSegment", 0, 32, 0));
             const bool bySegment = key->contains("pathSegment");
             if (bySegment != service.keyHeader.empty())
                 keyReader.fail("header", "either header or pathSegment");
@@ -68,33 +68,32 @@
         }
         size_t index = 0;
         for (const auto* route : reader.objects("routes"))
-            service.routes.push_back(readRoute(*route, "spec.routes[" + std::to_string(index++) + "]", fault));
-        service.longestWork = Millis(reader.number("longestWorkMs", 10, longestDeadlineMillis, 1000));
-        service.retryRatio = reader.ratio("retryRatio", 0, 1, 0.10);
-        service.tolerance = reader.ratio("tolerance", 0.01, 10, 0.20);
-        service.largestBody
-            = static_cast<uint64_t>(reader.number("largestBodyBytes", 0, largestBodyAllowed, 8'000'000));
+            service.routes.push_back(readRoute(*route, "spec.routes[" + std::to_string(index++) + "]", fieldError));
+        service.longestWork = Millis(reader.integer("longestWorkMs", 10, maxDeadlineMillis, 1000));
+        service.retryRatio = reader.real("retryRatio", 0, 1, 0.10);
+        service.tolerance = reader.real("tolerance", 0.01, 10, 0.20);
+        service.largestBody = static_cast<uint64_t>(reader.integer("largestBodyBytes", 0, maxBodyBytes, 8'000'000));
         reader.finish();
         return service;
     }
 
     // --- Servers
 
-    ServerResource readServer(const std::string& name, const json::object& spec, FieldFault& fault)
+    ServerResource readServer(const std::string& name, const json::object& spec, FieldError& fieldError)
     {
-        FieldReader reader(spec, "spec", fault);
+        FieldReader reader(spec, "spec", fieldError);
         ServerResource server;
         server.name = name;
         server.service = reader.text("service", true);
         server.address = reader.address("address");
-        server.port = static_cast<uint16_t>(reader.requiredNumber("port", 1, 65535));
+        server.port = static_cast<uint16_t>(reader.requiredInteger("port", 1, 65535));
         server.dataCentre = reader.text("dataCentre", true);
-        server.slots = static_cast<unsigned>(reader.number("slots", 1, mostSlots, 4));
-        server.connections = static_cast<unsigned>(reader.number("connections", 1, mostConnections, 120));
+        server.slots = static_cast<unsigned>(reader.integer("slots", 1, maxSlots, 4));
+        server.connections = static_cast<unsigned>(reader.integer("connections", 1, maxConnections, 120));
         server.checksGrants = reader.flag("checksGrants", false);
-        server.coldStart = Millis(reader.number("coldStartMs", 0, longestDeadlineMillis, 0));
-        const std::string wish = reader.oneOf("state", { "live", "leaving" }, "live");
-        server.desiredState = wish == "leaving" ? DesiredState::Leaving : DesiredState::Live;
+        server.coldStart = Millis(reader.integer("coldStartMs", 0, maxDeadlineMillis, 0));
+        const std::string state = reader.oneOf("state", { "live", "leaving" }, "live");
+        server.desiredState = state == "leaving" ? DesiredState::Leaving : DesiredState::Live;
         reader.finish();
         return server;
     }
@@ -102,18 +101,18 @@
     // --- Evacuations
 
     // Named as the data centre; there is nothing else to say.
-    void readEvacuation(Resources& resources, const ResourceDocument& document, FieldFault& fault)
+    void readEvacuation(Resources& resources, const ResourceDocument& document, FieldError& fieldError)
     {
-        FieldReader reader(document.spec, "spec", fault);
+        FieldReader reader(document.spec, "spec", fieldError);
         reader.finish();
         resources.evacuations.insert(document.name);
     }
 
     // --- Placements
 
-    PlacementResource readPlacement(const std::string& name, const json::object& spec, FieldFault& fault)
+    PlacementResource readPlacement(const std::string& name, const json::object& spec, FieldError& fieldError)
     {
-        FieldReader reader(spec, "spec", fault);
+        FieldReader reader(spec, "spec", fieldError);
         PlacementResource placement;
         placement.name = name;
         placement.service = reader.text("service", true);
@@ -152,7 +151,7 @@
 
 bool isKind(std::string_view kind) { return std::find(kinds.begin(), kinds.end(), kind) != kinds.end(); }
 
-std::string_view kindOf(std::string_view key)
+std::string_view kindOfKey(std::string_view key)
 {
     static const std::string prefix = std::string(storePrefix) + "resources/";
     if (!key.starts_with(prefix))
@@ -179,49 +178,49 @@
 
 leaf::result<ResourceDocument> parseDocument(std::string_view text)
 {
-    FieldFault fault;
-    const json::object object = parseObject(text, fault);
-    if (fault.any())
-        return leaf::new_error(fault);
-    FieldReader reader(object, {}, fault);
+    FieldError fieldError;
+    const json::object object = parseObject(text, fieldError);
+    if (fieldError.any())
+        return leaf::new_error(fieldError);
+    FieldReader reader(object, {}, fieldError);
     ResourceDocument document = readDocument(reader);
     reader.finish();
-    if (fault.any())
-        return leaf::new_error(fault);
-    Resources alone;
-    BOOST_LEAF_CHECK(addToResources(alone, document));
+    if (fieldError.any())
+        return leaf::new_error(fieldError);
+    Resources scratch;
+    BOOST_LEAF_CHECK(addToResources(scratch, document));
     return document;
 }
 
-leaf::result<StoredResource> parseStored(std::string_view text)
+leaf::result<StoredResource> parseStoredResource(std::string_view text)
 {
-    FieldFault fault;
-    const json::object object = parseObject(text, fault);
-    if (fault.any())
-        return leaf::new_error(fault);
-    FieldReader reader(object, {}, fault);
+    FieldError fieldError;
+    const json::object object = parseObject(text, fieldError);
+    if (fieldError.any())
+        return leaf::new_error(fieldError);
+    FieldReader reader(object, {}, fieldError);
     StoredResource stored;
     stored.document = readDocument(reader);
     stored.operationId = reader.text("operationId", true);
     reader.finish();
-    if (fault.any())
-        return leaf::new_error(fault);
+    if (fieldError.any())
+        return leaf::new_error(fieldError);
     return stored;
 }
 
 leaf::result<void> addToResources(Resources& resources, const ResourceDocument& document)
 {
-    FieldFault fault;
+    FieldError fieldError;
     if (document.kind == "Service")
-        resources.services[document.name] = readService(document.name, document.spec, fault);
+        resources.services[document.name] = readService(document.name, document.spec, fieldError);
     else if (document.kind == "BackendServer")
-        resources.servers[document.name] = readServer(document.name, document.spec, fault);
+        resources.servers[document.name] = readServer(document.name, document.spec, fieldError);
     else if (document.kind == "Placement")
-        resources.placements[document.name] = readPlacement(document.name, document.spec, fault);
+        resources.placements[document.name] = readPlacement(document.name, document.spec, fieldError);
     else
-        readEvacuation(resources, document, fault);
-    if (fault.any())
-        return leaf::new_error(fault);
+        readEvacuation(resources, document, fieldError);
+    if (fieldError.any())
+        return leaf::new_error(fieldError);
     return {};
 }
 
@@ -234,7 +233,7 @@
     return object;
 }
 
-std::string storedText(const StoredResource& stored)
+std::string encodeStoredResource(const StoredResource& stored)
 {
     json::object object = toJson(stored.document);
     object["operationId"] = stored.operationId;
@@ -249,7 +248,7 @@
         if (server.dataCentre == dataCentre)
             return {};
     }
-    return leaf::new_error(FieldFault { "Evacuation name", "a data centre in which a BackendServer stands" });
+    return leaf::new_error(FieldError { "Evacuation name", "a data centre in which a BackendServer stands" });
 }
 
 leaf::result<void> checkReferences(const Resources& resources)
@@ -257,16 +256,16 @@
     for (const auto& [name, server] : resources.servers) {
         if (!resources.services.count(server.service))
             return leaf::new_error(
-                FieldFault { "BackendServer/" + name + " spec.service", "the name of a declared Service" });
+                FieldError { "BackendServer/" + name + " spec.service", "the name of a declared Service" });
     }
     for (const auto& [name, placement] : resources.placements) {
         if (!resources.services.count(placement.service))
             return leaf::new_error(
-                FieldFault { "Placement/" + name + " spec.service", "the name of a declared Service" });
+                FieldError { "Placement/" + name + " spec.service", "the name of a declared Service" });
         for (const auto& server : placement.servers) {
             const auto found = resources.servers.find(server);
             if (found == resources.servers.end() || found->second.service != placement.service)
-                return leaf::new_error(FieldFault { "Placement/" + name + " spec.servers",
+                return leaf::new_error(FieldError { "Placement/" + name + " spec.servers",
                     "names of BackendServers of the same service; '" + server + "' is not one" });
         }
     }
@@ -274,7 +273,7 @@
         for (const auto& [other, another] : resources.services) {
             if (name < other && service.pathPrefix == another.pathPrefix)
                 return leaf::new_error(
-                    FieldFault { "Service/" + other + " spec.pathPrefix", "a prefix of its own; " + name + " has it" });
+                    FieldError { "Service/" + other + " spec.pathPrefix", "a prefix of its own; " + name + " has it" });
         }
     }
     return {};
--- a/packages/resources/ResourceCodec.h
+++ b/packages/resources/ResourceCodec.h
@@ -38,29 +38,29 @@
 std::string rosterKey();
 std::string leaderKey();
 
-// Each fails with a FieldFault.
+// Each fails with a FieldError.
 boost::leaf::result<ResourceDocument> parseDocument(std::string_view text);
-boost::leaf::result<StoredResource> parseStored(std::string_view text);
+boost::leaf::result<StoredResource> parseStoredResource(std::string_view text);
 boost::leaf::result<void> addToResources(Resources&, const ResourceDocument&); // replaces one of the same name
 // An evacuation that is to be declared. Not a reference: its servers may go while it stands.
 boost::leaf::result<void> checkEvacuation(const Resources&, std::string_view dataCentre);
 boost::leaf::result<void> checkReferences(const Resources&);
 
-std::string storedText(const StoredResource&);
+std::string encodeStoredResource(const StoredResource&);
 boost::json::object toJson(const ResourceDocument&);
-std::string_view kindOf(std::string_view key); // of a resource key; empty for other keys
+std::string_view kindOfKey(std::string_view key); // of a resource key; empty for other keys
 bool isKind(std::string_view kind);
 
-// Runs a checked step and hands out its fault, if any.
-template <typename Step> std::optional<FieldFault> faultIn(Step&& step)
+// Runs a checked step and hands out its fieldError, if any.
+template <typename Step> std::optional<FieldError> fieldErrorOf(Step&& step)
 {
-    std::optional<FieldFault> fault;
+    std::optional<FieldError> fieldError;
     boost::leaf::try_handle_all([&]() -> boost::leaf::result<void> { return step(); },
-        [&](const FieldFault& found) { fault = found; },
+        [&](const FieldError& found) { fieldError = found; },
         [&] {
-            fault = FieldFault { {}, "could not be checked" };
+            fieldError = FieldError { {}, "could not be checked" };
         });
-    return fault;
+    return fieldError;
 }
 
 }
--- a/packages/resources/RosterCodec.cpp
+++ b/packages/resources/RosterCodec.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-    constexpr int64_t highestPort = 65535;
+    constexpr int64_t maxPort = 65535;
 
-    Member readMember(const json::object& object, FieldFault& fault)
+    Member readMember(const json::object& object, FieldError& fieldError)
     {
-        FieldReader reader(object, "members", fault);
+        FieldReader reader(object, "members", fieldError);
         Member member;
         member.name = reader.text("name", true);
         member.dataCentre = reader.text("dataCentre", true);
         member.address = reader.address("address");
-        member.peerPort = static_cast<uint16_t>(reader.requiredNumber("peerPort", 1, highestPort));
-        member.callerPort = static_cast<uint16_t>(reader.requiredNumber("callerPort", 1, highestPort));
-        member.operatorPort = static_cast<uint16_t>(reader.requiredNumber("operatorPort", 1, highestPort));
+        member.peerPort = static_cast<uint16_t>(reader.requiredInteger("peerPort", 1, maxPort));
+        member.callerPort = static_cast<uint16_t>(reader.requiredInteger("callerPort", 1, maxPort));
+        member.operatorPort = static_cast<uint16_t>(reader.requiredInteger("operatorPort", 1, maxPort));
         member.state = reader.flag("departed", false) ? MemberState::Departed : MemberState::Member;
         return member;
     }
@@ -51,14 +51,14 @@
 
 std::optional<Roster> decodeRoster(std::string_view text)
 {
-    FieldFault fault;
-    const json::object object = parseObject(text, fault);
-    FieldReader reader(object, {}, fault);
+    FieldError fieldError;
+    const json::object object = parseObject(text, fieldError);
+    FieldReader reader(object, {}, fieldError);
     Roster roster;
-    roster.version = static_cast<uint64_t>(reader.requiredNumber("version", 1, INT64_MAX));
+    roster.version = static_cast<uint64_t>(reader.requiredInteger("version", 1, INT64_MAX));
     for (const auto* member : reader.objects("members"))
-        roster.members.push_back(readMember(*member, fault));
-    if (fault.any())
+        roster.members.push_back(readMember(*member, fieldError));
+    if (fieldError.any())
         return std::nullopt;
     return roster;
 }
--- a/packages/resources/Settings.cpp
+++ b/packages/resources/Settings.cpp
@@ -11,26 +11,26 @@
 
 namespace {
 
-    constexpr int64_t longestMillis = 3'600'000;
-    constexpr size_t shortestToken = 8;
-    constexpr int64_t highestPort = 65'535;
+    constexpr int64_t maxMillis = 3'600'000;
+    constexpr size_t minTokenLength = 8;
+    constexpr int64_t maxPort = 65'535;
 
-    Millis readMillis(FieldReader& reader, std::string_view name, int64_t least, Millis otherwise)
+    Millis readMillis(FieldReader& reader, std::string_view name, int64_t minimum, Millis defaultValue)
     {
-        return Millis(reader.number(name, least, longestMillis, otherwise.count()));
+        return Millis(reader.integer(name, minimum, maxMillis, defaultValue.count()));
     }
 
     // "IP:port" in one text, or an object with both.
-    Endpoint readEndpoint(FieldReader& parent, std::string_view name, FieldFault& fault, bool required = true)
+    Endpoint readEndpoint(FieldReader& parent, std::string_view name, FieldError& fieldError, bool required = true)
     {
         Endpoint endpoint;
-        if (const auto text = parent.textIfAny(name)) {
+        if (const auto text = parent.optionalText(name)) {
             const auto colon = text->rfind(':');
             const auto port = colon == std::string::npos ? 0 : std::strtol(text->c_str() + colon + 1, nullptr, 10);
             boost::system::error_code error;
             endpoint.address = text->substr(0, colon);
             boost::asio::ip::make_address(endpoint.address, error);
-            if (error || port < 1 || port > highestPort)
+            if (error || port < 1 || port > maxPort)
                 parent.fail(name, "an IP number and a port, as 10.0.0.1:7101");
             endpoint.port = static_cast<uint16_t>(port);
             return endpoint;
@@ -38,85 +38,85 @@
         const auto* object = parent.object(name, required);
         if (!object)
             return endpoint;
-        FieldReader reader(*object, parent.pathOf(name), fault);
+        FieldReader reader(*object, parent.pathOf(name), fieldError);
         endpoint.address = reader.address("address");
-        endpoint.port = static_cast<uint16_t>(reader.requiredNumber("port", 1, highestPort));
+        endpoint.port = static_cast<uint16_t>(reader.requiredInteger("port", 1, maxPort));
         reader.finish();
         return endpoint;
     }
 
-    HostSettings readHost(const json::object& object, FieldFault& fault, bool gateway)
+    HostSettings readHost(const json::object& object, FieldError& fieldError, bool gateway)
     {
-        FieldReader reader(object, "host", fault);
+        FieldReader reader(object, "host", fieldError);
         HostSettings host;
         host.name = reader.text("name", true, {}, 63);
         host.dataCentre = reader.text("dataCentre", true, {}, 63);
-        host.callers = readEndpoint(reader, "callers", fault);
-        host.peers = readEndpoint(reader, "peers", fault);
-        host.operators = readEndpoint(reader, "operators", fault);
+        host.callers = readEndpoint(reader, "callers", fieldError);
+        host.peers = readEndpoint(reader, "peers", fieldError);
+        host.operators = readEndpoint(reader, "operators", fieldError);
         // On a gateway operators write to the platform's store, and hosts find each other there.
         host.operatorToken = reader.text("operatorToken", !gateway);
-        if (!gateway && host.operatorToken.size() < shortestToken)
+        if (!gateway && host.operatorToken.size() < minTokenLength)
             reader.fail("operatorToken", "a text of at least 8 characters");
-        host.store = readEndpoint(reader, "store", fault);
-        host.hostList = readEndpoint(reader, "hostList", fault, !gateway);
+        host.store = readEndpoint(reader, "store", fieldError);
+        host.hostList = readEndpoint(reader, "hostList", fieldError, !gateway);
         reader.finish();
         return host;
     }
 
-    TimingSettings readTiming(const json::object& object, FieldFault& fault)
+    TimingSettings readTiming(const json::object& object, FieldError& fieldError)
     {
-        FieldReader reader(object, "timing", fault);
+        FieldReader reader(object, "timing", fieldError);
         TimingSettings timing;
-        timing.beat = readMillis(reader, "beatMs", 10, timing.beat);
+        timing.heartbeatInterval = readMillis(reader, "beatMs", 10, timing.heartbeatInterval);
         timing.lease = readMillis(reader, "leaseMs", 50, timing.lease);
         timing.driftMargin = readMillis(reader, "driftMarginMs", 1, timing.driftMargin);
         timing.leaderLease = readMillis(reader, "leaderLeaseMs", 1000, timing.leaderLease);
-        timing.reread = readMillis(reader, "rereadMs", 500, timing.reread);
-        timing.probe = readMillis(reader, "probeMs", 20, timing.probe);
+        timing.rereadInterval = readMillis(reader, "rereadMs", 500, timing.rereadInterval);
+        timing.probeInterval = readMillis(reader, "probeMs", 20, timing.probeInterval);
         timing.probeTimeout = readMillis(reader, "probeTimeoutMs", 20, timing.probeTimeout);
         timing.hostListLag = readMillis(reader, "hostListLagMs", 0, timing.hostListLag);
-        if (timing.lease < 2 * timing.beat)
+        if (timing.lease < 2 * timing.heartbeatInterval)
             reader.fail("leaseMs", "at least twice beatMs, so that one lost beat does not stop a host");
         reader.finish();
         return timing;
     }
 
-    Millis readSeconds(FieldReader& reader, std::string_view name, double least, Millis otherwise)
+    Millis readSeconds(FieldReader& reader, std::string_view name, double minimum, Millis defaultValue)
     {
-        constexpr double longestSeconds = 3'600;
-        const double seconds = reader.ratio(name, least, longestSeconds, static_cast<double>(otherwise.count()) / 1000);
+        constexpr double maxSeconds = 3'600;
+        const double seconds = reader.real(name, minimum, maxSeconds, static_cast<double>(defaultValue.count()) / 1000);
         return Millis(std::llround(seconds * 1000));
     }
 
-    GatewaySettings readGateway(const json::object& object, FieldFault& fault)
+    GatewaySettings readGateway(const json::object& object, FieldError& fieldError)
     {
-        FieldReader reader(object, "gateway", fault);
+        FieldReader reader(object, "gateway", fieldError);
         GatewaySettings gateway;
         gateway.platform = reader.oneOf("platform", { metadataStorePlatform }, {});
-        gateway.readiness = readEndpoint(reader, "readiness", fault);
-        constexpr double mostCores = 1'024;
-        gateway.strength = reader.ratio("strength", 0, mostCores, gateway.strength);
-        gateway.longestHold = readSeconds(reader, "longestHoldSeconds", 1, gateway.longestHold);
+        gateway.readiness = readEndpoint(reader, "readiness", fieldError);
+        constexpr double maxCores = 1'024;
+        gateway.strength = reader.real("strength", 0, maxCores, gateway.strength);
+        gateway.maxGrantHold = readSeconds(reader, "longestHoldSeconds", 1, gateway.maxGrantHold);
         gateway.leaderLease = readSeconds(reader, "leaderLeaseSeconds", 1, gateway.leaderLease);
-        gateway.shortestLease = readSeconds(reader, "shortestLeaseSeconds", 0, gateway.shortestLease);
-        gateway.leaveWithin = readSeconds(reader, "leaveWithinSeconds", 0.1, gateway.leaveWithin);
-        gateway.evacuateWithin = readSeconds(reader, "evacuateWithinSeconds", 0.1, gateway.evacuateWithin);
-        gateway.grace = readSeconds(reader, "graceSeconds", 1, gateway.grace);
+        gateway.minStoreLease = readSeconds(reader, "shortestLeaseSeconds", 0, gateway.minStoreLease);
+        gateway.leaveTimeout = readSeconds(reader, "leaveWithinSeconds", 0.1, gateway.leaveTimeout);
+        gateway.evacuationTimeout = readSeconds(reader, "evacuateWithinSeconds", 0.1, gateway.evacuationTimeout);
+        gateway.shutdownGrace = readSeconds(reader, "graceSeconds", 1, gateway.shutdownGrace);
         gateway.fingerprintKey = reader.text("fingerprintKey", false);
-        gateway.retryRatio = reader.ratio("retryRatio", 0, 1, gateway.retryRatio);
-        constexpr double mostSlack = 1'000'000;
-        gateway.retrySlack = reader.ratio("retrySlack", 0, mostSlack, gateway.retrySlack);
+        gateway.retryRatio = reader.real("retryRatio", 0, 1, gateway.retryRatio);
+        constexpr double maxRetrySlack = 1'000'000;
+        gateway.retrySlack = reader.real("retrySlack", 0, maxRetrySlack, gateway.retrySlack);
         reader.finish();
         return gateway;
     }
 
-    LimitSettings readLimits(const json::object& object, FieldFault& fault)
+    LimitSettings readLimits(const json::object& object, FieldError& fieldError)
     {
-        FieldReader reader(object, "limits", fault);
+        FieldReader reader(object, "limits", fieldError);
         LimitSettings limits;
-        const auto size = [&](std::string_view name, int64_t least, int64_t most, size_t otherwise) {
-            return static_cast<size_t>(reader.number(name, least, most, static_cast<int64_t>(otherwise)));
+        const auto size = [&](std::string_view name, int64_t minimum, int64_t maximum, size_t defaultValue) {
+            return static_cast<size_t>(reader.integer(name, minimum, maximum, static_cast<int64_t>(defaultValue)));
         };
         limits.callerConnections = size("callerConnections", 1, 1'000'000, limits.callerConnections);
         limits.bodyMemory = size("bodyMemoryBytes", 1'000'000, 1'000'000'000'000, limits.bodyMemory);
@@ -133,23 +133,23 @@
 
 leaf::result<Settings> parseSettings(std::string_view text)
 {
-    FieldFault fault;
-    const json::object object = parseObject(text, fault);
-    if (fault.any())
-        return leaf::new_error(fault);
-    FieldReader reader(object, {}, fault);
+    FieldError fieldError;
+    const json::object object = parseObject(text, fieldError);
+    if (fieldError.any())
+        return leaf::new_error(fieldError);
+    FieldReader reader(object, {}, fieldError);
     Settings settings;
     if (const auto* gateway = reader.object("gateway", false))
-        settings.gateway = readGateway(*gateway, fault);
+        settings.gateway = readGateway(*gateway, fieldError);
     if (const auto* host = reader.object("host", true))
-        settings.host = readHost(*host, fault, settings.gateway.has_value());
+        settings.host = readHost(*host, fieldError, settings.gateway.has_value());
     if (const auto* timing = reader.object("timing", false))
-        settings.timing = readTiming(*timing, fault);
+        settings.timing = readTiming(*timing, fieldError);
     if (const auto* limits = reader.object("limits", false))
-        settings.limits = readLimits(*limits, fault);
+        settings.limits = readLimits(*limits, fieldError);
     reader.finish();
-    if (fault.any())
-        return leaf::new_error(fault);
+    if (fieldError.any())
+        return leaf::new_error(fieldError);
     return settings;
 }
 
--- a/packages/resources/Settings.h
+++ b/packages/resources/Settings.h
@@ -37,24 +37,24 @@
     std::string platform; // which platform's words: metadataStorePlatform
     Endpoint readiness; // the balancer asks here whether new callers should come
     double strength = 0.2; // cores that this host may use; the stronger ones coordinate where they can
-    Millis longestHold { 10'000 }; // of one grant, as servers allow it
+    Millis maxGrantHold { 10'000 }; // of one grant, as servers allow it
     Millis leaderLease { 1'500 }; // of the coordinator's election; a lost one is replaced within about this time
-    Millis shortestLease { 1'000 }; // that the store allows
-    Millis leaveWithin { 2'000 }; // after a server has announced that it leaves, nothing new may reach it
-    Millis evacuateWithin { 5'000 }; // after operators have asked for it, nothing new may reach a data centre
-    Millis grace { 6'000 }; // between the request to stop and the end
+    Millis minStoreLease { 1'000 }; // that the store allows
+    Millis leaveTimeout { 2'000 }; // after a server has announced that it leaves, nothing new may reach it
+    Millis evacuationTimeout { 5'000 }; // after operators have asked for it, nothing new may reach a data centre
+    Millis shutdownGrace { 6'000 }; // between the request to stop and the end
     std::string fingerprintKey; // of requests that crash servers, in logs and in the store; the same on all hosts
     double retryRatio = 0.2; // sends beyond the first, over all hosts: so many for each request ...
     double retrySlack = 60; // ... and so many more in a window
 };
 
 struct TimingSettings {
-    Millis beat { 250 }; // between two beats to a peer
+    Millis heartbeatInterval { 250 }; // between two beats to a peer
     Millis lease { 600 }; // routing lease
     Millis driftMargin { 100 };
     Millis leaderLease { 2000 }; // of the assigner's election in the store
-    Millis reread { 5000 }; // slow re-read of the store, against watches that went silent
-    Millis probe { 200 }; // of each backend server
+    Millis rereadInterval { 5000 }; // slow re-read of the store, against watches that went silent
+    Millis probeInterval { 200 }; // of each backend server
     Millis probeTimeout { 300 };
     Millis hostListLag { 5000 }; // the list's stated lag: hosts that it no longer shows count until then
 };
@@ -76,6 +76,6 @@
     std::optional<GatewaySettings> gateway;
 };
 
-boost::leaf::result<Settings> parseSettings(std::string_view text); // fails with a FieldFault
+boost::leaf::result<Settings> parseSettings(std::string_view text); // fails with a FieldError
 
 }
--- a/packages/store/HostList.cpp
+++ b/packages/store/HostList.cpp
@@ -12,16 +12,16 @@
 
     constexpr int64_t highestPort = 65535;
 
-    ListedHost readHost(const boost::json::object& object, FieldFault& fault)
+    ListedHost readHost(const boost::json::object& object, FieldError& fault)
     {
         FieldReader reader(object, "hosts", fault);
         ListedHost host;
         host.member.name = reader.text("name", true);
         host.member.dataCentre = reader.text("dataCentre", true);
         host.member.address = reader.address("address");
-        host.member.peerPort = static_cast<uint16_t>(reader.requiredNumber("peerPort", 1, highestPort));
-        host.member.callerPort = static_cast<uint16_t>(reader.requiredNumber("callerPort", 1, highestPort));
-        host.member.operatorPort = static_cast<uint16_t>(reader.requiredNumber("operatorPort", 1, highestPort));
+        host.member.peerPort = static_cast<uint16_t>(reader.requiredInteger("peerPort", 1, highestPort));
+        host.member.callerPort = static_cast<uint16_t>(reader.requiredInteger("callerPort", 1, highestPort));
+        host.member.operatorPort = static_cast<uint16_t>(reader.requiredInteger("operatorPort", 1, highestPort));
         host.leaving = reader.flag("leaving", false);
         return host;
     }
@@ -40,7 +40,7 @@
     const HttpReply reply = co_await m_client.send(call, timeout);
     if (reply.status != 200)
         co_return std::nullopt;
-    FieldFault fault;
+    FieldError fault;
     const auto object = parseObject(reply.body, fault);
     FieldReader reader(object, {}, fault);
     std::vector<ListedHost> hosts;
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -134,12 +134,12 @@
 {
     ClusterView view;
     const std::string key = resourceKey("Service", "a");
-    view.applyEvents(7, { event(key, storedText({ service("a", 2000), "op-2" }), 7) });
-    CHECK_FALSE(view.applyEvents(5, { event(key, storedText({ service("a", 1000), "op-1" }), 5) }).any());
+    view.applyEvents(7, { event(key, encodeStoredResource({ service("a", 2000), "op-2" }), 7) });
+    CHECK_FALSE(view.applyEvents(5, { event(key, encodeStoredResource({ service("a", 1000), "op-1" }), 5) }).any());
     CHECK(view.resources()->services.at("a").longestWork == Millis(2000));
     view.applyEvents(9, { event(key, "", 9, true) });
     CHECK(view.resources()->services.empty());
-    CHECK_FALSE(view.applyEvents(8, { event(key, storedText({ service("a", 1000), "op-1" }), 8) }).any());
+    CHECK_FALSE(view.applyEvents(8, { event(key, encodeStoredResource({ service("a", 1000), "op-1" }), 8) }).any());
     CHECK(view.resources()->services.empty());
 
     SliceTable table;
@@ -155,7 +155,7 @@
 TEST_CASE("resources and their deletions reach another host through peers, and both views are then equal")
 {
     ClusterView first;
-    first.applyEvents(7, { event(resourceKey("Service", "a"), storedText({ service("a"), "op-1" }), 7) });
+    first.applyEvents(7, { event(resourceKey("Service", "a"), encodeStoredResource({ service("a"), "op-1" }), 7) });
     first.applyEvents(8, { event(resourceKey("Service", "b"), "", 8, true) });
     ClusterView second;
     CHECK(second.applyPeerResources(first.resourcesForPeers()).resources);
@@ -177,12 +177,12 @@
     NoEvents events;
     StoreFollower follower(clock, settings, store, view, freshness, metrics, events);
     store.revision = 50;
-    store.put(resourceKey("Service", "a"), storedText({ service("a", 2000), "op-2" }));
-    store.put(resourceKey("Service", "b"), storedText({ service("b"), "op-2" }));
+    store.put(resourceKey("Service", "a"), encodeStoredResource({ service("a", 2000), "op-2" }));
+    store.put(resourceKey("Service", "b"), encodeStoredResource({ service("b"), "op-2" }));
     CHECK(runNow(follower.readAll()));
     store.revision = 40;
     store.values[resourceKey("Service", "a")]
-        = { resourceKey("Service", "a"), storedText({ service("a", 1000), "op-1" }), 40 };
+        = { resourceKey("Service", "a"), encodeStoredResource({ service("a", 1000), "op-1" }), 40 };
     CHECK_FALSE(runNow(follower.readAll()));
     CHECK(follower.storeWentBack());
     CHECK(view.resources()->services.at("a").longestWork == Millis(2000));
@@ -191,7 +191,7 @@
     CHECK_FALSE(runNow(follower.readAll())); // the revision has caught up, but an accepted service is still missing
     CHECK(view.resources()->services.count("b") == 1);
     store.put(other.key, other.value);
-    store.put(resourceKey("Service", "a"), storedText({ service("a", 3000), "op-3" }));
+    store.put(resourceKey("Service", "a"), encodeStoredResource({ service("a", 3000), "op-3" }));
     CHECK(runNow(follower.readAll()));
     CHECK_FALSE(follower.storeWentBack());
     CHECK(view.resources()->services.at("a").longestWork == Millis(3000));
--- a/tests/resources_test.cpp
+++ b/tests/resources_test.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-std::optional<FieldFault> faultOfDocument(std::string_view text)
+std::optional<FieldError> documentError(std::string_view text)
 {
-    return faultIn([&]() -> boost::leaf::result<void> {
+    return fieldErrorOf([&]() -> boost::leaf::result<void> {
         BOOST_LEAF_CHECK(parseDocument(text));
         return {};
     });
@@ -27,37 +27,37 @@
 
 TEST_CASE("a faulty resource is refused with the field's path and what is allowed")
 {
-    CHECK_FALSE(faultOfDocument(server("")).has_value());
-    CHECK(faultOfDocument(server(R"(,"slots":0)"))->text() == "spec.slots: a whole number from 1 to 100000");
-    CHECK(faultOfDocument(server(R"(,"slot":4)"))->field == "spec.slot");
-    CHECK(faultOfDocument(server(R"(,"state":"gone")"))->text() == "spec.state: one of live, leaving");
-    CHECK(faultOfDocument(R"({"kind":"Server","name":"x","spec":{}})")->field == "kind");
-    CHECK(faultOfDocument(R"({"kind":"Service","name":"a/b","spec":{}})")->field == "name");
-    CHECK(faultOfDocument("{ nonsense")->text().find("line 1") != std::string::npos);
+    CHECK_FALSE(documentError(server("")).has_value());
+    CHECK(documentError(server(R"(,"slots":0)"))->text() == "spec.slots: a whole number from 1 to 100000");
+    CHECK(documentError(server(R"(,"slot":4)"))->field == "spec.slot");
+    CHECK(documentError(server(R"(,"state":"gone")"))->text() == "spec.state: one of live, leaving");
+    CHECK(documentError(R"({"kind":"Server","name":"x","spec":{}})")->field == "kind");
+    CHECK(documentError(R"({"kind":"Service","name":"a/b","spec":{}})")->field == "name");
+    CHECK(documentError("{ nonsense")->text().find("line 1") != std::string::npos);
     const char* route
         = R"({"kind":"Service","name":"t","spec":{"pathPrefix":"/t/","key":{"header":"K"},"routes":[{},{"deadlineMs":1}]}})";
-    CHECK(faultOfDocument(route)->field == "spec.routes[1].deadlineMs");
+    CHECK(documentError(route)->field == "spec.routes[1].deadlineMs");
 }
 
 TEST_CASE("dangling references are refused with the name that is missing")
 {
     Resources resources;
     const auto add = [&](std::string_view text) {
-        return faultIn([&]() -> boost::leaf::result<void> {
+        return fieldErrorOf([&]() -> boost::leaf::result<void> {
             BOOST_LEAF_AUTO(document, parseDocument(text));
             return addToResources(resources, document);
         });
     };
     CHECK_FALSE(add(server("")).has_value());
-    CHECK(faultIn([&] { return checkReferences(resources); })->field == "BackendServer/s-1 spec.service");
+    CHECK(fieldErrorOf([&] { return checkReferences(resources); })->field == "BackendServer/s-1 spec.service");
 }
 
 TEST_CASE("any text is either parsed or refused with a reason; nothing escapes")
 {
     CHECK(rc::check([](const std::string& text) {
-        const auto fault = faultOfDocument(text);
-        RC_ASSERT(fault.has_value());
-        RC_ASSERT(fault->any());
+        const auto fieldError = documentError(text);
+        RC_ASSERT(fieldError.has_value());
+        RC_ASSERT(fieldError->any());
         RC_ASSERT(!decodeRoster(text).has_value());
     }));
 }
@@ -66,7 +66,7 @@
 {
     // A user would see cumindaled die on a mistyped comment. The JSON library gives a position far beyond the
     // text when it fails there, and the line number was counted up to it.
-    CHECK(faultOfDocument("/8$;")->any());
+    CHECK(documentError("/8$;")->any());
 }
 
 TEST_CASE("a document with one byte changed is parsed or refused, and what is parsed is within its bounds")
@@ -75,12 +75,12 @@
         std::string text = server(R"(,"slots":4,"connections":120,"coldStartMs":0)");
         text[*rc::gen::inRange<size_t>(0, text.size())] = static_cast<char>(*rc::gen::inRange(0, 256));
         Resources resources;
-        const auto fault = faultIn([&]() -> boost::leaf::result<void> {
+        const auto fieldError = fieldErrorOf([&]() -> boost::leaf::result<void> {
             BOOST_LEAF_AUTO(document, parseDocument(text));
             return addToResources(resources, document);
         });
         for (const auto& [name, resource] : resources.servers) {
-            RC_ASSERT(!fault.has_value());
+            RC_ASSERT(!fieldError.has_value());
             RC_ASSERT(resource.slots >= 1u);
             RC_ASSERT(resource.port >= 1);
         }
@@ -105,11 +105,11 @@
     server.dataCentre = "dc-1";
     resources.servers.emplace("a", server);
     CHECK(resources.acceptsWork(server));
-    const auto faultOf = [](auto&& check) { return faultIn(check); };
-    CHECK_FALSE(faultOf([&] { return checkEvacuation(resources, "dc-1"); }));
-    CHECK(faultOf([&] { return checkEvacuation(resources, "dc-2"); }));
+    const auto errorOf = [](auto&& check) { return fieldErrorOf(check); };
+    CHECK_FALSE(errorOf([&] { return checkEvacuation(resources, "dc-1"); }));
+    CHECK(errorOf([&] { return checkEvacuation(resources, "dc-2"); }));
     const auto add = [&](const char* text) {
-        return faultOf([&]() -> boost::leaf::result<void> {
+        return errorOf([&]() -> boost::leaf::result<void> {
             ResourceDocument document;
             BOOST_LEAF_ASSIGN(document, parseDocument(text));
             return addToResources(resources, document);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-std::optional<FieldFault> faultOfSettings(std::string_view text, Settings* settings = nullptr)
+std::optional<FieldError> settingsError(std::string_view text, Settings* settings = nullptr)
 {
-    return faultIn([&]() -> boost::leaf::result<void> {
+    return fieldErrorOf([&]() -> boost::leaf::result<void> {
         BOOST_LEAF_AUTO(parsed, parseSettings(text));
         if (settings)
             *settings = parsed;
@@ -33,16 +33,16 @@
 TEST_CASE("settings have defaults, and each bad one names its field and what is allowed")
 {
     Settings settings;
-    CHECK_FALSE(faultOfSettings(settingsWith(""), &settings).has_value());
+    CHECK_FALSE(settingsError(settingsWith(""), &settings).has_value());
     CHECK(settings.timing.lease == Millis(600));
     CHECK(settings.host.hostList.address == "::1");
-    CHECK(faultOfSettings(settingsWith(R"(,"timing":{"beatMs":400})"))->text()
+    CHECK(settingsError(settingsWith(R"(,"timing":{"beatMs":400})"))->text()
         == "timing.leaseMs: at least twice beatMs, so that one lost beat does not stop a host");
-    CHECK(faultOfSettings(settingsWith(R"(,"limits":{"headerBytes":1})"))->field == "limits.headerBytes");
-    CHECK(faultOfSettings(settingsWith(R"(,"limit":{})"))->text()
+    CHECK(settingsError(settingsWith(R"(,"limits":{"headerBytes":1})"))->field == "limits.headerBytes");
+    CHECK(settingsError(settingsWith(R"(,"limit":{})"))->text()
         == "limit: unknown field; remove it or mend its spelling");
-    CHECK(faultOfSettings(R"({"host":{"name":"a"}})")->field == "host.dataCentre");
-    CHECK(faultOfSettings(settingsWith(R"(,"timing":{"beatMs":"fast"})"))->field == "timing.beatMs");
+    CHECK(settingsError(R"({"host":{"name":"a"}})")->field == "host.dataCentre");
+    CHECK(settingsError(settingsWith(R"(,"timing":{"beatMs":"fast"})"))->field == "timing.beatMs");
 }
 
 TEST_CASE("a gateway's settings name endpoints in one text; a null counts as absent")
@@ -54,21 +54,21 @@
             + std::string(more) + "}}";
     };
     Settings settings;
-    CHECK_FALSE(faultOfSettings(gateway(R"(,"longestHoldSeconds":null,"graceSeconds":6.5)"), &settings).has_value());
+    CHECK_FALSE(settingsError(gateway(R"(,"longestHoldSeconds":null,"graceSeconds":6.5)"), &settings).has_value());
     CHECK(settings.host.store.address == "10.0.0.9");
     CHECK(settings.host.store.port == 7000);
     REQUIRE(settings.gateway);
-    CHECK(settings.gateway->longestHold == Millis(10'000));
-    CHECK(settings.gateway->grace == Millis(6'500));
-    CHECK(faultOfSettings(gateway("", R"("10.0.0.9")"))->field == "host.store");
-    CHECK(faultOfSettings(gateway("", R"("here:7000")"))->field == "host.store");
-    CHECK(faultOfSettings(gateway(R"(,"graceSeconds":0)"))->field == "gateway.graceSeconds");
-    CHECK(faultOfSettings(gateway(R"(,"grace":1)"))->field == "gateway.grace");
-    CHECK(faultOfSettings(R"({"gateway":{"platform":"other","readiness":"10.0.0.1:83"}})")->text()
+    CHECK(settings.gateway->maxGrantHold == Millis(10'000));
+    CHECK(settings.gateway->shutdownGrace == Millis(6'500));
+    CHECK(settingsError(gateway("", R"("10.0.0.9")"))->field == "host.store");
+    CHECK(settingsError(gateway("", R"("here:7000")"))->field == "host.store");
+    CHECK(settingsError(gateway(R"(,"graceSeconds":0)"))->field == "gateway.graceSeconds");
+    CHECK(settingsError(gateway(R"(,"grace":1)"))->field == "gateway.grace");
+    CHECK(settingsError(R"({"gateway":{"platform":"other","readiness":"10.0.0.1:83"}})")->text()
         == "gateway.platform: one of metadata-store");
 }
 
 TEST_CASE("any text is refused with a reason; nothing escapes")
 {
-    CHECK(rc::check([](const std::string& text) { RC_ASSERT(faultOfSettings(text).has_value()); }));
+    CHECK(rc::check([](const std::string& text) { RC_ASSERT(settingsError(text).has_value()); }));
 }
