--- a/packages/resources/FieldReader.cpp
+++ b/packages/resources/FieldReader.cpp
@@ -46,18 +46,18 @@
     const json::value* value = find(name);
     if (!value) {
         if (required)
-            fail(name, "required, a text");
+            fail(name, "required, a string");
         return std::string(defaultValue);
     }
     const auto* found = value->if_string();
     if (!found || found->size() > maxLength || (required && found->empty())) {
-        fail(name, "a text of at most " + std::to_string(maxLength) + " characters");
+        fail(name, "a string of at most " + std::to_string(maxLength) + " characters");
         return std::string(defaultValue);
     }
     const bool printable
         = std::all_of(found->begin(), found->end(), [](unsigned char c) { return c >= 0x20 && c != 0x7f; });
     if (!printable)
-        fail(name, "a text without control characters");
+        fail(name, "a string without control characters");
     return std::string(*found);
 }
 
@@ -80,7 +80,7 @@
     boost::system::error_code error;
     boost::asio::ip::make_address(found, error);
     if (error)
-        fail(name, "an IP number, as 10.0.0.1 or ::1");
+        fail(name, "an IP address, such as 10.0.0.1 or ::1");
     return found;
 }
 
@@ -146,12 +146,12 @@
     if (!value)
         return found;
     if (!value->is_array()) {
-        fail(name, "a list of texts");
+        fail(name, "a list of strings");
         return found;
     }
     for (const auto& item : value->get_array()) {
         if (!item.is_string())
-            fail(std::string(name) + "[" + std::to_string(found.size()) + "]", "a text");
+            fail(std::string(name) + "[" + std::to_string(found.size()) + "]", "a string");
         found.emplace_back(item.is_string() ? std::string(item.get_string()) : std::string());
     }
     return found;
@@ -192,7 +192,7 @@
 {
     for (const auto& field : m_object) {
         if (!m_readNames.count(std::string_view(field.key())))
-            fail(std::string_view(field.key()), "unknown field; remove it or mend its spelling");
+            fail(std::string_view(field.key()), "unknown field; remove it or correct its spelling");
     }
 }
 
@@ -202,7 +202,8 @@
     options.allow_comments = true;
     json::stream_parser parser({}, options);
     boost::system::error_code error;
-    // Boost.JSON 1.81 gives a length far beyond the text when it fails in what begins like a comment ("/8").
+    // Boost.JSON 1.81 returns a length far beyond the end of the text when parsing fails after a '/' that starts no
+    // comment, such as "/8".
     const size_t used = std::min(parser.write_some(text.data(), text.size(), error), text.size());
     if (!error && used == text.size())
         parser.finish(error);
@@ -210,7 +211,7 @@
         const auto line = 1 + std::count(text.begin(), text.begin() + static_cast<ptrdiff_t>(used), '\n');
         fieldError = { {},
             "not JSON (comments are allowed): line " + std::to_string(line) + ", "
-                + (error ? error.message() : std::string("text after the end")) };
+                + (error ? error.message() : std::string("unexpected text after the object")) };
         return {};
     }
     const json::value value = parser.release();
--- a/packages/resources/FieldReader.h
+++ b/packages/resources/FieldReader.h
@@ -1,7 +1,7 @@
-// Checked reading of JSON objects: every fieldError names the field's path and what is allowed there.
+// Reads and validates the fields of JSON objects. Each error names the path of the field and the values allowed there.
 //
-// Reads take a default, note the first fieldError and go on, so that a caller reads all fields in a row and asks
-// for the fieldError once. finish() refuses fields that nobody read. A field that is null counts as absent.
+// A read that fails returns its default value. Only the first error is kept, so that callers can read all fields in a
+// row and check for an error once. finish() reports fields that were never read. A null field counts as absent.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -14,10 +14,10 @@
 
 namespace cumindale {
 
-// What is wrong with some input, and where.
+// A validation error: the field and what is allowed there.
 struct FieldError {
     std::string field; // path, as in "routes[2].deadlineMs"; empty for the isInteger
-    std::string allowed; // what would be right
+    std::string allowed; // description of the allowed values; empty if there is no error
 
     bool any() const { return !allowed.empty(); }
     std::string text() const { return (field.empty() ? std::string("input") : field) + ": " + allowed; }
@@ -29,10 +29,11 @@
 
     std::string text(std::string_view name, bool required, std::string_view defaultValue = {}, size_t maxLength = 253);
     std::optional<std::string> optionalText(
-        std::string_view name); // nothing: absent or no text, which is no fieldError yet
+        std::string_view name); // nullopt if absent or not a string; reports no error
     std::string oneOf(
         std::string_view name, const std::vector<std::string_view>& allowed, std::string_view defaultValue);
-    std::string address(std::string_view name, std::string_view defaultValue = {}); // IP number; required if no default
+    std::string address(
+        std::string_view name, std::string_view defaultValue = {}); // IP address; required if there is no default
     int64_t integer(std::string_view name, int64_t minimum, int64_t maximum, int64_t defaultValue);
     int64_t requiredInteger(std::string_view name, int64_t minimum, int64_t maximum);
     double real(std::string_view name, double minimum, double maximum, double defaultValue);
@@ -42,8 +43,8 @@
     std::vector<const boost::json::object*> objects(std::string_view name);
     const boost::json::object* object(std::string_view name, bool required);
     std::string pathOf(std::string_view name) const;
-    void fail(std::string_view name, std::string allowed); // the first one stays
-    void finish(); // unknown fields are faults
+    void fail(std::string_view name, std::string allowed); // later errors are ignored
+    void finish(); // reports the first field that was not read
 
 private:
     const boost::json::value* find(std::string_view name);
@@ -54,7 +55,7 @@
     std::set<std::string, std::less<>> m_readNames;
 };
 
-// Parses JSON with comments into an object; a fieldError gives the position.
+// Parses a JSON object; comments are allowed. A syntax error is reported with its line.
 boost::json::object parseObject(std::string_view text, FieldError&);
 
 }
--- a/packages/resources/GrantTableCodec.cpp
+++ b/packages/resources/GrantTableCodec.cpp
@@ -56,7 +56,7 @@
         return ranges;
     }
 
-    // Nothing: not JSON, a field is missing or has another type, or `read` says that it makes no sense.
+    // Returns nullopt if the text is not JSON, a field is missing or has the wrong type, or `read` rejects the value.
     template <typename Value, typename Read> std::optional<Value> decodeWith(std::string_view text, Read&& read)
     {
         boost::system::error_code error;
--- a/packages/resources/QuarantineCodec.cpp
+++ b/packages/resources/QuarantineCodec.cpp
@@ -46,13 +46,13 @@
     const json::value value = json::parse(text, error);
     const bool isList = !error && value.is_array();
     if (!isList)
-        logChange(LogLevel::Error, "quarantine-refused", { { "why", "no list" } });
+        logChange(LogLevel::Error, "quarantine-refused", { { "why", "not a JSON array" } });
     for (const auto& item : isList ? value.get_array() : json::array {}) {
         try {
             const json::object& entry = item.as_object();
             const auto request = parseFingerprint(std::string_view(entry.at("request").as_string()));
             if (!request)
-                throw std::invalid_argument("no fingerprint");
+                throw std::invalid_argument("invalid fingerprint");
             const Millis since(unixMillis - entry.at("since").to_number<int64_t>());
             const Millis left(entry.at("until").to_number<int64_t>() - unixMillis);
             requests.push_back({ *request, entry.at("crashes").to_number<unsigned>(), now - since, now + left });
--- a/packages/resources/QuarantineCodec.h
+++ b/packages/resources/QuarantineCodec.h
@@ -1,5 +1,5 @@
-// The quarantined requests as they lie in the store. Times there are on the wall clock: the host that reads them is
-// another one, perhaps much later.
+// JSON encoding of the quarantined requests in the store. Times are stored as wall-clock time because another host may
+// read them, possibly much later.
 #pragma once
 
 #include "decisions/CrashEvidence.h"
@@ -15,7 +15,7 @@
 std::string quarantineKey(); // in the store
 
 std::string encodeQuarantine(std::span<const QuarantinedRequest>, Instant now, int64_t unixMillis);
-// What can't be read is left out, with a line.
+// Invalid entries are logged and skipped.
 std::vector<QuarantinedRequest> decodeQuarantine(std::string_view text, Instant now, int64_t unixMillis);
 
 std::string formatFingerprint(Fingerprint); // 16 hexadecimal digits
--- a/packages/resources/ResourceCodec.cpp
+++ b/packages/resources/ResourceCodec.cpp
@@ -22,7 +22,7 @@
 
     // --- Names
 
-    // Letters, digits, '-', '_' and '.', so that a name is safe in a path, a header and a store key.
+    // Allows letters, digits, '-', '_' and '.', so that names are safe in paths, headers and store keys.
     bool isName(std::string_view name)
     {
         if (name.empty() || name.size() > maxNameLength)
@@ -100,7 +100,7 @@
 
     // --- Evacuations
 
-    // Named as the data centre; there is nothing else to say.
+    // The resource has the name of its data centre; the spec has no fields.
     void readEvacuation(Resources& resources, const ResourceDocument& document, FieldError& fieldError)
     {
         FieldReader reader(document.spec, "spec", fieldError);
@@ -123,7 +123,7 @@
         placement.servers = reader.texts("servers");
         placement.dataCentres = reader.texts("dataCentres");
         if (placement.servers.empty() && placement.dataCentres.empty())
-            reader.fail("servers", "at least one of servers and dataCentres must name something");
+            reader.fail("servers", "servers and dataCentres must not both be empty");
         reader.finish();
         return placement;
     }
@@ -248,7 +248,7 @@
         if (server.dataCentre == dataCentre)
             return {};
     }
-    return leaf::new_error(FieldError { "Evacuation name", "a data centre in which a BackendServer stands" });
+    return leaf::new_error(FieldError { "Evacuation name", "the data centre of a declared BackendServer" });
 }
 
 leaf::result<void> checkReferences(const Resources& resources)
@@ -272,8 +272,8 @@
     for (const auto& [name, service] : resources.services) {
         for (const auto& [other, another] : resources.services) {
             if (name < other && service.pathPrefix == another.pathPrefix)
-                return leaf::new_error(
-                    FieldError { "Service/" + other + " spec.pathPrefix", "a prefix of its own; " + name + " has it" });
+                return leaf::new_error(FieldError { "Service/" + other + " spec.pathPrefix",
+                    "a unique path prefix; " + name + " already uses this one" });
         }
     }
     return {};
--- a/packages/resources/ResourceCodec.h
+++ b/packages/resources/ResourceCodec.h
@@ -1,9 +1,9 @@
-// The JSON form of resources, its checks, and the keys under which the store holds them.
+// JSON encoding and validation of resources, and the keys under which the store holds them.
 //
 //     {"kind": "Service", "name": "tracing", "spec": {...}}
 //
-// Unknown fields, values out of range and dangling references are refused with the field's path. See
-// docs/OPERATIONS.md for every field.
+// Unknown fields, values out of range and references to undeclared resources are rejected with the field's path.
+// docs/OPERATIONS.md describes every field.
 #pragma once
 
 #include "decisions/Resources.h"
@@ -18,15 +18,15 @@
 
 namespace cumindale {
 
-// One resource as an operator wrote it: checked by itself, not yet against others.
+// One resource as written by an operator. Its own fields are validated, its references to other resources are not.
 struct ResourceDocument {
-    std::string kind; // Service, BackendServer or Placement
+    std::string kind; // Service, BackendServer, Placement or Evacuation
     std::string name;
     boost::json::object spec;
 };
 
-// A resource as the store holds it: the document and the operation that wrote it, which tells a writer whose
-// answer was lost whether its write took effect.
+// A resource as held by the store: the document and the ID of the operation that wrote it. A writer that lost the
+// response to its write uses the ID to find out whether the write took effect.
 struct StoredResource {
     ResourceDocument document;
     std::string operationId;
@@ -41,17 +41,18 @@
 // Each fails with a FieldError.
 boost::leaf::result<ResourceDocument> parseDocument(std::string_view text);
 boost::leaf::result<StoredResource> parseStoredResource(std::string_view text);
-boost::leaf::result<void> addToResources(Resources&, const ResourceDocument&); // replaces one of the same name
-// An evacuation that is to be declared. Not a reference: its servers may go while it stands.
+boost::leaf::result<void> addToResources(Resources&, const ResourceDocument&); // replaces a resource of the same name
+// Checks that the data centre of a new evacuation has servers. Not part of checkReferences(), since the servers may be
+// removed while the evacuation is in force.
 boost::leaf::result<void> checkEvacuation(const Resources&, std::string_view dataCentre);
 boost::leaf::result<void> checkReferences(const Resources&);
 
 std::string encodeStoredResource(const StoredResource&);
 boost::json::object toJson(const ResourceDocument&);
-std::string_view kindOfKey(std::string_view key); // of a resource key; empty for other keys
+std::string_view kindOfKey(std::string_view key); // empty if the key is not a resource key
 bool isKind(std::string_view kind);
 
-// Runs a checked step and hands out its fieldError, if any.
+// Runs a validation step and returns its error, if any.
 template <typename Step> std::optional<FieldError> fieldErrorOf(Step&& step)
 {
     std::optional<FieldError> fieldError;
--- a/packages/resources/RosterCodec.h
+++ b/packages/resources/RosterCodec.h
@@ -1,4 +1,4 @@
-// The JSON form of the roster in the store.
+// JSON encoding of the roster in the store.
 #pragma once
 
 #include "decisions/Roster.h"
@@ -10,6 +10,6 @@
 namespace cumindale {
 
 std::string encodeRoster(const Roster&);
-std::optional<Roster> decodeRoster(std::string_view text); // nothing if faulty
+std::optional<Roster> decodeRoster(std::string_view text); // nullopt if malformed
 
 }
--- a/packages/resources/Settings.cpp
+++ b/packages/resources/Settings.cpp
@@ -20,7 +20,7 @@
         return Millis(reader.integer(name, minimum, maxMillis, defaultValue.count()));
     }
 
-    // "IP:port" in one text, or an object with both.
+    // Accepts an "IP:port" string or an object with the fields "address" and "port".
     Endpoint readEndpoint(FieldReader& parent, std::string_view name, FieldError& fieldError, bool required = true)
     {
         Endpoint endpoint;
@@ -31,7 +31,7 @@
             endpoint.address = text->substr(0, colon);
             boost::asio::ip::make_address(endpoint.address, error);
             if (error || port < 1 || port > maxPort)
-                parent.fail(name, "an IP number and a port, as 10.0.0.1:7101");
+                parent.fail(name, "an IP address and a port, such as 10.0.0.1:7101");
             endpoint.port = static_cast<uint16_t>(port);
             return endpoint;
         }
@@ -54,10 +54,11 @@
         host.callers = readEndpoint(reader, "callers", fieldError);
         host.peers = readEndpoint(reader, "peers", fieldError);
         host.operators = readEndpoint(reader, "operators", fieldError);
-        // On a gateway operators write to the platform's store, and hosts find each other there.
+        // With a gateway, operators write to the platform's store and hosts discover each other there, so that neither
+        // the token nor the host list is required.
         host.operatorToken = reader.text("operatorToken", !gateway);
         if (!gateway && host.operatorToken.size() < minTokenLength)
-            reader.fail("operatorToken", "a text of at least 8 characters");
+            reader.fail("operatorToken", "a string of at least 8 characters");
         host.store = readEndpoint(reader, "store", fieldError);
         host.hostList = readEndpoint(reader, "hostList", fieldError, !gateway);
         reader.finish();
--- a/packages/resources/Settings.h
+++ b/packages/resources/Settings.h
@@ -1,5 +1,6 @@
-// Settings of one cumindaled process: a JSON file with comments. Every field is checked before anything starts;
-// a bad one is answered with the file, the field and what is allowed. examples/cumindaled.json shows them all.
+// Settings of one cumindaled process, read from a JSON file in which comments are allowed. All fields are validated
+// before anything starts; an error names the file, the field and the allowed values. examples/cumindaled.json lists all
+// fields.
 #pragma once
 
 #include "base/Time.h"
@@ -14,49 +15,56 @@
 namespace cumindale {
 
 struct Endpoint {
-    std::string address; // IP number
+    std::string address; // IP address
     uint16_t port = 0;
 };
 
-constexpr std::string_view metadataStorePlatform = "metadata-store"; // the one platform that is known
+constexpr std::string_view metadataStorePlatform = "metadata-store"; // the only supported platform
 
 struct HostSettings {
     std::string name; // unique among the entry hosts
     std::string dataCentre;
     Endpoint callers; // HTTP from callers
-    Endpoint peers; // Thrift between the system's processes
+    Endpoint peers; // Thrift between cumindaled processes
     Endpoint operators; // administration API and /metrics
     std::string operatorToken; // bearer token for writes
     Endpoint store; // the platform's key-value store
-    Endpoint hostList; // the platform's list of hosts
+    Endpoint hostList; // the platform's host list service
 };
 
-// Routes by host name and path, on a platform that declares services in a document of its own and whose servers
-// enforce what they were granted. Without it a host serves the resources that operators apply.
+// Settings for routing by host name and path on a platform that declares its services in a document of its own and
+// whose servers enforce their grants. Without these settings a host serves the resources that operators apply.
 struct GatewaySettings {
-    std::string platform; // which platform's words: metadataStorePlatform
-    Endpoint readiness; // the balancer asks here whether new callers should come
-    double strength = 0.2; // cores that this host may use; the stronger ones coordinate where they can
-    Millis maxGrantHold { 10'000 }; // of one grant, as servers allow it
-    Millis leaderLease { 1'500 }; // of the coordinator's election; a lost one is replaced within about this time
-    Millis minStoreLease { 1'000 }; // that the store allows
-    Millis leaveTimeout { 2'000 }; // after a server has announced that it leaves, nothing new may reach it
-    Millis evacuationTimeout { 5'000 }; // after operators have asked for it, nothing new may reach a data centre
-    Millis shutdownGrace { 6'000 }; // between the request to stop and the end
-    std::string fingerprintKey; // of requests that crash servers, in logs and in the store; the same on all hosts
-    double retryRatio = 0.2; // sends beyond the first, over all hosts: so many for each request ...
-    double retrySlack = 60; // ... and so many more in a window
+    std::string platform; // selects the platform adapter: metadataStorePlatform
+    Endpoint readiness; // the load balancer checks here whether to send new callers
+    double strength = 0.2; // CPU cores that this host may use; hosts with more are preferred as coordinator
+    Millis maxGrantHold { 10'000 }; // longest duration of one grant that servers accept
+    Millis leaderLease {
+        1'500
+    }; // of the coordinator's election; a failed coordinator is replaced after about this time
+    Millis minStoreLease { 1'000 }; // shortest lease that the store accepts
+    Millis leaveTimeout {
+        2'000
+    }; // after a server announces that it leaves, no new request may reach it beyond this time
+    Millis evacuationTimeout { 5'000 }; // no new request may reach an evacuated data centre beyond this time
+    Millis shutdownGrace { 6'000 }; // from the request to stop to the end of the process
+    std::string
+        fingerprintKey; // key for fingerprints of requests that crash servers, in logs and the store; same on all hosts
+    double retryRatio = 0.2; // retries per request that all hosts together may send ...
+    double retrySlack = 60; // ... plus this many retries per window
 };
 
 struct TimingSettings {
-    Millis heartbeatInterval { 250 }; // between two beats to a peer
+    Millis heartbeatInterval { 250 }; // between two heartbeats to a peer
     Millis lease { 600 }; // routing lease
     Millis driftMargin { 100 };
     Millis leaderLease { 2000 }; // of the assigner's election in the store
-    Millis rereadInterval { 5000 }; // slow re-read of the store, against watches that went silent
-    Millis probeInterval { 200 }; // of each backend server
+    Millis rereadInterval { 5000 }; // full re-read of the store, in case a watch stops delivering events
+    Millis probeInterval { 200 }; // between two probes of a backend server
     Millis probeTimeout { 300 };
-    Millis hostListLag { 5000 }; // the list's stated lag: hosts that it no longer shows count until then
+    Millis hostListLag {
+        5000
+    }; // documented lag of the host list; a host counts for this long after it is no longer listed
 };
 
 struct LimitSettings {
@@ -64,8 +72,8 @@
     size_t bodyMemory = 64'000'000; // bytes of request bodies being received, over all connections
     size_t headerBytes = 16'384;
     size_t keyBytes = 1'024;
-    Millis headerTimeout { 10'000 }; // for a request's headers, from its first byte
-    Millis bodyIdleTimeout { 30'000 }; // without a byte of the body
+    Millis headerTimeout { 10'000 }; // to receive all headers of a request, from its first byte
+    Millis bodyIdleTimeout { 30'000 }; // without a byte of the body received
     Millis idleTimeout { 60'000 }; // between two requests on one connection
 };
 
--- a/tests/resources_test.cpp
+++ b/tests/resources_test.cpp
@@ -25,7 +25,7 @@
 
 }
 
-TEST_CASE("a faulty resource is refused with the field's path and what is allowed")
+TEST_CASE("an invalid resource is rejected with the field's path and the allowed values")
 {
     CHECK_FALSE(documentError(server("")).has_value());
     CHECK(documentError(server(R"(,"slots":0)"))->text() == "spec.slots: a whole number from 1 to 100000");
@@ -39,7 +39,7 @@
     CHECK(documentError(route)->field == "spec.routes[1].deadlineMs");
 }
 
-TEST_CASE("dangling references are refused with the name that is missing")
+TEST_CASE("a reference to an undeclared resource is rejected with the path of the referring field")
 {
     Resources resources;
     const auto add = [&](std::string_view text) {
@@ -52,7 +52,7 @@
     CHECK(fieldErrorOf([&] { return checkReferences(resources); })->field == "BackendServer/s-1 spec.service");
 }
 
-TEST_CASE("any text is either parsed or refused with a reason; nothing escapes")
+TEST_CASE("parsing arbitrary text as a document or roster reports an error and throws nothing")
 {
     CHECK(rc::check([](const std::string& text) {
         const auto fieldError = documentError(text);
@@ -62,14 +62,14 @@
     }));
 }
 
-TEST_CASE("a settings file that begins like a comment is refused, not a crash")
+TEST_CASE("text that starts like a comment is rejected without a crash")
 {
-    // A user would see cumindaled die on a mistyped comment. The JSON library gives a position far beyond the
-    // text when it fails there, and the line number was counted up to it.
+    // Guards against a crash of cumindaled on a mistyped comment: the JSON library reports a position far beyond the
+    // text there, and the line number of the error was counted up to that position.
     CHECK(documentError("/8$;")->any());
 }
 
-TEST_CASE("a document with one byte changed is parsed or refused, and what is parsed is within its bounds")
+TEST_CASE("a document with one changed byte is rejected or parsed to values within their bounds")
 {
     CHECK(rc::check([] {
         std::string text = server(R"(,"slots":4,"connections":120,"coldStartMs":0)");
@@ -87,7 +87,7 @@
     }));
 }
 
-TEST_CASE("a roster survives its codec")
+TEST_CASE("a roster is unchanged after encoding and decoding")
 {
     Roster roster;
     roster.version = 12;
@@ -95,9 +95,9 @@
     CHECK(*decodeRoster(encodeRoster(roster)) == roster);
 }
 
-// What operators saw: an evacuation with a mistyped name was accepted, and the data centre that was meant went on being
-// used.
-TEST_CASE("an evacuation names a data centre with servers, says nothing else, and its servers are wanted no more")
+// Guards against accepting an evacuation with a mistyped name, after which the intended data centre stayed in use.
+TEST_CASE(
+    "an evacuation names a data centre with servers, has an empty spec, and stops its servers from accepting work")
 {
     Resources resources;
     ServerResource server;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -30,7 +30,7 @@
 
 }
 
-TEST_CASE("settings have defaults, and each bad one names its field and what is allowed")
+TEST_CASE("settings have defaults, and an invalid one is reported with its field and the allowed values")
 {
     Settings settings;
     CHECK_FALSE(settingsError(settingsWith(""), &settings).has_value());
@@ -40,12 +40,12 @@
         == "timing.leaseMs: at least twice beatMs, so that one lost beat does not stop a host");
     CHECK(settingsError(settingsWith(R"(,"limits":{"headerBytes":1})"))->field == "limits.headerBytes");
     CHECK(settingsError(settingsWith(R"(,"limit":{})"))->text()
-        == "limit: unknown field; remove it or mend its spelling");
+        == "limit: unknown field; remove it or correct its spelling");
     CHECK(settingsError(R"({"host":{"name":"a"}})")->field == "host.dataCentre");
     CHECK(settingsError(settingsWith(R"(,"timing":{"beatMs":"fast"})"))->field == "timing.beatMs");
 }
 
-TEST_CASE("a gateway's settings name endpoints in one text; a null counts as absent")
+TEST_CASE("gateway settings accept endpoints as IP:port strings, and null counts as absent")
 {
     const auto gateway = [](std::string_view more, std::string_view store = R"("10.0.0.9:7000")") {
         return R"({"host":{"name":"a","dataCentre":"d","callers":"10.0.0.1:80","peers":"10.0.0.1:81",
@@ -68,7 +68,7 @@
         == "gateway.platform: one of metadata-store");
 }
 
-TEST_CASE("any text is refused with a reason; nothing escapes")
+TEST_CASE("parsing arbitrary text as settings reports an error and throws nothing")
 {
     CHECK(rc::check([](const std::string& text) { RC_ASSERT(settingsError(text).has_value()); }));
 }
