--- a/packages/resources/FieldReader.h
+++ b/packages/resources/FieldReader.h
@@ -16,7 +16,7 @@
 
 // A validation error: the field and what is allowed there.
 struct FieldError {
-    std::string field; // path, as in "routes[2].deadlineMs"; empty for the isInteger
+    std::string field; // path, such as "routes[2].deadlineMs"; empty for the whole input
     std::string allowed; // description of the allowed values; empty if there is no error
 
     bool any() const { return !allowed.empty(); }
@@ -28,12 +28,12 @@
     FieldReader(const boost::json::object&, std::string path, FieldError&);
 
     std::string text(std::string_view name, bool required, std::string_view defaultValue = {}, size_t maxLength = 253);
-    std::optional<std::string> optionalText(
-        std::string_view name); // nullopt if absent or not a string; reports no error
+    // Returns nullopt and reports no error if the field is absent or not a string.
+    std::optional<std::string> optionalText(std::string_view name);
     std::string oneOf(
         std::string_view name, const std::vector<std::string_view>& allowed, std::string_view defaultValue);
-    std::string address(
-        std::string_view name, std::string_view defaultValue = {}); // IP address; required if there is no default
+    // Reads an IP address, which is required if there is no default.
+    std::string address(std::string_view name, std::string_view defaultValue = {});
     int64_t integer(std::string_view name, int64_t minimum, int64_t maximum, int64_t defaultValue);
     int64_t requiredInteger(std::string_view name, int64_t minimum, int64_t maximum);
     double real(std::string_view name, double minimum, double maximum, double defaultValue);
--- a/packages/resources/GrantTableCodec.h
+++ b/packages/resources/GrantTableCodec.h
@@ -1,4 +1,4 @@
-// JSON encoding of a GrantTable in the store and between peers. A range is an array: first point, last point, holder
+// JSON encoding of a GrantTable in the store and between peers. A range is an array: first key, last key, holder
 // and fencing token; while the range moves, also the next holder, its fencing token and the HolderState as a number.
 //
 //     {"service": "tracing", "term": 412, "edition": 7, "highestFence": 90,
--- a/packages/resources/Settings.h
+++ b/packages/resources/Settings.h
@@ -39,17 +39,13 @@
     Endpoint readiness; // the load balancer checks here whether to send new callers
     double strength = 0.2; // CPU cores that this host may use; hosts with more are preferred as coordinator
     Millis maxGrantHold { 10'000 }; // longest duration of one grant that servers accept
-    Millis leaderLease {
-        1'500
-    }; // of the coordinator's election; a failed coordinator is replaced after about this time
+    Millis leaderLease { 1'500 }; // of the coordinator; bounds the time to replace a failed one to about this
     Millis minStoreLease { 1'000 }; // shortest lease that the store accepts
-    Millis leaveTimeout {
-        2'000
-    }; // after a server announces that it leaves, no new request may reach it beyond this time
-    Millis evacuationTimeout { 5'000 }; // no new request may reach an evacuated data centre beyond this time
+    Millis leaveTimeout { 2'000 }; // from a server's leave notice until no new request may reach it
+    Millis evacuationTimeout { 5'000 }; // from an evacuation order until no new request may reach the data centre
     Millis shutdownGrace { 6'000 }; // from the request to stop to the end of the process
-    std::string
-        fingerprintKey; // key for fingerprints of requests that crash servers, in logs and the store; same on all hosts
+    // Key for the fingerprints of requests that crash servers, in logs and in the store; the same on all hosts.
+    std::string fingerprintKey;
     double retryRatio = 0.2; // retries per request that all hosts together may send ...
     double retrySlack = 60; // ... plus this many retries per window
 };
@@ -62,9 +58,7 @@
     Millis rereadInterval { 5000 }; // full re-read of the store, in case a watch stops delivering events
     Millis probeInterval { 200 }; // between two probes of a backend server
     Millis probeTimeout { 300 };
-    Millis hostListLag {
-        5000
-    }; // documented lag of the host list; a host counts for this long after it is no longer listed
+    Millis hostListLag { 5000 }; // documented lag of the host list; an unlisted host still counts for this long
 };
 
 struct LimitSettings {
