--- a/packages/resources/FieldReader.h
+++ b/packages/resources/FieldReader.h
@@ -1,7 +1,7 @@
-// Checked reading of JSON objects: every fault names the field's path and what is allowed there.
+// Reads and validates the fields of JSON objects. Each error names the path of the field and the values allowed there.
 //
-// Reads take a default, note the first fault and go on, so that a caller reads all fields in a row and asks
-// for the fault once. finish() refuses fields that nobody read. A field that is null counts as absent.
+// A read that fails returns its default value. Only the first error is kept, so that callers can read all fields in a
+// row and check for an error once. finish() reports fields that were never read. A null field counts as absent.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -14,10 +14,10 @@
 
 namespace cumindale {
 
-// What is wrong with some input, and where.
-struct FieldFault {
-    std::string field; // path, as in "routes[2].deadlineMs"; empty for the whole
-    std::string allowed; // what would be right
+// A validation error: the field and what is allowed there.
+struct FieldError {
+    std::string field; // path, such as "routes[2].deadlineMs"; empty for the whole input
+    std::string allowed; // description of the allowed values; empty if there is no error
 
     bool any() const { return !allowed.empty(); }
     std::string text() const { return (field.empty() ? std::string("input") : field) + ": " + allowed; }
@@ -25,34 +25,37 @@
 
 class FieldReader {
 public:
-    FieldReader(const boost::json::object&, std::string path, FieldFault&);
-
-    std::string text(std::string_view name, bool required, std::string_view otherwise = {}, size_t longest = 253);
-    std::optional<std::string> textIfAny(std::string_view name); // nothing: absent or no text, which is no fault yet
-    std::string oneOf(std::string_view name, const std::vector<std::string_view>& allowed, std::string_view otherwise);
-    std::string address(std::string_view name, std::string_view otherwise = {}); // IP number; required if no default
-    int64_t number(std::string_view name, int64_t least, int64_t most, int64_t otherwise);
-    int64_t requiredNumber(std::string_view name, int64_t least, int64_t most);
-    double ratio(std::string_view name, double least, double most, double otherwise);
-    double requiredRatio(std::string_view name, double least, double most);
-    bool flag(std::string_view name, bool otherwise);
+    FieldReader(const boost::json::object&, std::string path, FieldError&);
+
+    std::string text(std::string_view name, bool required, std::string_view defaultValue = {}, size_t maxLength = 253);
+    // Returns nullopt and reports no error if the field is absent or not a string.
+    std::optional<std::string> optionalText(std::string_view name);
+    std::string oneOf(
+        std::string_view name, const std::vector<std::string_view>& allowed, std::string_view defaultValue);
+    // Reads an IP address, which is required if there is no default.
+    std::string address(std::string_view name, std::string_view defaultValue = {});
+    int64_t integer(std::string_view name, int64_t minimum, int64_t maximum, int64_t defaultValue);
+    int64_t requiredInteger(std::string_view name, int64_t minimum, int64_t maximum);
+    double real(std::string_view name, double minimum, double maximum, double defaultValue);
+    double requiredReal(std::string_view name, double minimum, double maximum);
+    bool flag(std::string_view name, bool defaultValue);
     std::vector<std::string> texts(std::string_view name);
     std::vector<const boost::json::object*> objects(std::string_view name);
     const boost::json::object* object(std::string_view name, bool required);
     std::string pathOf(std::string_view name) const;
-    void fail(std::string_view name, std::string allowed); // the first one stays
-    void finish(); // unknown fields are faults
+    void fail(std::string_view name, std::string allowed); // later errors are ignored
+    void finish(); // reports the first field that was not read
 
 private:
     const boost::json::value* find(std::string_view name);
 
     const boost::json::object& m_object;
     std::string m_path;
-    FieldFault& m_fault;
-    std::set<std::string, std::less<>> m_known;
+    FieldError& m_error;
+    std::set<std::string, std::less<>> m_readNames;
 };
 
-// Parses JSON with comments into an object; a fault gives the position.
-boost::json::object parseObject(std::string_view text, FieldFault&);
+// Parses a JSON object; comments are allowed. A syntax error is reported with its line.
+boost::json::object parseObject(std::string_view text, FieldError&);
 
 }
--- a/tests/resources_test.cpp
+++ b/tests/resources_test.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-std::optional<FieldFault> faultOfDocument(std::string_view text)
+std::optional<FieldError> documentError(std::string_view text)
 {
-    return faultIn([&]() -> boost::leaf::result<void> {
+    return fieldErrorOf([&]() -> boost::leaf::result<void> {
         BOOST_LEAF_CHECK(parseDocument(text));
         return {};
     });
@@ -25,69 +25,69 @@
 
 }
 
-TEST_CASE("a faulty resource is refused with the field's path and what is allowed")
+TEST_CASE("an invalid resource is rejected with the field's path and the allowed values")
 {
-    CHECK_FALSE(faultOfDocument(server("")).has_value());
-    CHECK(faultOfDocument(server(R"(,"slots":0)"))->text() == "spec.slots: a whole number from 1 to 100000");
-    CHECK(faultOfDocument(server(R"(,"slot":4)"))->field == "spec.slot");
-    CHECK(faultOfDocument(server(R"(,"state":"gone")"))->text() == "spec.state: one of live, leaving");
-    CHECK(faultOfDocument(R"({"kind":"Server","name":"x","spec":{}})")->field == "kind");
-    CHECK(faultOfDocument(R"({"kind":"Service","name":"a/b","spec":{}})")->field == "name");
-    CHECK(faultOfDocument("{ nonsense")->text().find("line 1") != std::string::npos);
+    CHECK_FALSE(documentError(server("")).has_value());
+    CHECK(documentError(server(R"(,"slots":0)"))->text() == "spec.slots: a whole number from 1 to 100000");
+    CHECK(documentError(server(R"(,"slot":4)"))->field == "spec.slot");
+    CHECK(documentError(server(R"(,"state":"gone")"))->text() == "spec.state: one of live, leaving");
+    CHECK(documentError(R"({"kind":"Server","name":"x","spec":{}})")->field == "kind");
+    CHECK(documentError(R"({"kind":"Service","name":"a/b","spec":{}})")->field == "name");
+    CHECK(documentError("{ nonsense")->text().find("line 1") != std::string::npos);
     const char* route
         = R"({"kind":"Service","name":"t","spec":{"pathPrefix":"/t/","key":{"header":"K"},"routes":[{},{"deadlineMs":1}]}})";
-    CHECK(faultOfDocument(route)->field == "spec.routes[1].deadlineMs");
+    CHECK(documentError(route)->field == "spec.routes[1].deadlineMs");
 }
 
-TEST_CASE("dangling references are refused with the name that is missing")
+TEST_CASE("a reference to an undeclared resource is rejected with the path of the referring field")
 {
     Resources resources;
     const auto add = [&](std::string_view text) {
-        return faultIn([&]() -> boost::leaf::result<void> {
+        return fieldErrorOf([&]() -> boost::leaf::result<void> {
             BOOST_LEAF_AUTO(document, parseDocument(text));
             return addToResources(resources, document);
         });
     };
     CHECK_FALSE(add(server("")).has_value());
-    CHECK(faultIn([&] { return checkReferences(resources); })->field == "BackendServer/s-1 spec.service");
+    CHECK(fieldErrorOf([&] { return checkReferences(resources); })->field == "BackendServer/s-1 spec.service");
 }
 
-TEST_CASE("any text is either parsed or refused with a reason; nothing escapes")
+TEST_CASE("parsing arbitrary text as a document or roster reports an error and throws nothing")
 {
     CHECK(rc::check([](const std::string& text) {
-        const auto fault = faultOfDocument(text);
-        RC_ASSERT(fault.has_value());
-        RC_ASSERT(fault->any());
+        const auto fieldError = documentError(text);
+        RC_ASSERT(fieldError.has_value());
+        RC_ASSERT(fieldError->any());
         RC_ASSERT(!decodeRoster(text).has_value());
     }));
 }
 
-TEST_CASE("a settings file that begins like a comment is refused, not a crash")
+TEST_CASE("text that starts like a comment is rejected without a crash")
 {
-    // A user would see cumindaled die on a mistyped comment. The JSON library gives a position far beyond the
-    // text when it fails there, and the line number was counted up to it.
-    CHECK(faultOfDocument("/8$;")->any());
+    // Guards against a crash of cumindaled on a mistyped comment: the JSON library reports a position far beyond the
+    // text there, and the line number of the error was counted up to that position.
+    CHECK(documentError("/8$;")->any());
 }
 
-TEST_CASE("a document with one byte changed is parsed or refused, and what is parsed is within its bounds")
+TEST_CASE("a document with one changed byte is rejected or parsed to values within their bounds")
 {
     CHECK(rc::check([] {
         std::string text = server(R"(,"slots":4,"connections":120,"coldStartMs":0)");
         text[*rc::gen::inRange<size_t>(0, text.size())] = static_cast<char>(*rc::gen::inRange(0, 256));
         Resources resources;
-        const auto fault = faultIn([&]() -> boost::leaf::result<void> {
+        const auto fieldError = fieldErrorOf([&]() -> boost::leaf::result<void> {
             BOOST_LEAF_AUTO(document, parseDocument(text));
             return addToResources(resources, document);
         });
         for (const auto& [name, resource] : resources.servers) {
-            RC_ASSERT(!fault.has_value());
+            RC_ASSERT(!fieldError.has_value());
             RC_ASSERT(resource.slots >= 1u);
             RC_ASSERT(resource.port >= 1);
         }
     }));
 }
 
-TEST_CASE("a roster survives its codec")
+TEST_CASE("a roster is unchanged after encoding and decoding")
 {
     Roster roster;
     roster.version = 12;
@@ -95,9 +95,9 @@
     CHECK(*decodeRoster(encodeRoster(roster)) == roster);
 }
 
-// What operators saw: an evacuation with a mistyped name was accepted, and the data centre that was meant went on being
-// used.
-TEST_CASE("an evacuation names a data centre with servers, says nothing else, and its servers are wanted no more")
+// Guards against accepting an evacuation with a mistyped name, after which the intended data centre stayed in use.
+TEST_CASE(
+    "an evacuation names a data centre with servers, has an empty spec, and stops its servers from accepting work")
 {
     Resources resources;
     ServerResource server;
@@ -105,11 +105,11 @@
     server.dataCentre = "dc-1";
     resources.servers.emplace("a", server);
     CHECK(resources.acceptsWork(server));
-    const auto faultOf = [](auto&& check) { return faultIn(check); };
-    CHECK_FALSE(faultOf([&] { return checkEvacuation(resources, "dc-1"); }));
-    CHECK(faultOf([&] { return checkEvacuation(resources, "dc-2"); }));
+    const auto errorOf = [](auto&& check) { return fieldErrorOf(check); };
+    CHECK_FALSE(errorOf([&] { return checkEvacuation(resources, "dc-1"); }));
+    CHECK(errorOf([&] { return checkEvacuation(resources, "dc-2"); }));
     const auto add = [&](const char* text) {
-        return faultOf([&]() -> boost::leaf::result<void> {
+        return errorOf([&]() -> boost::leaf::result<void> {
             ResourceDocument document;
             BOOST_LEAF_ASSIGN(document, parseDocument(text));
             return addToResources(resources, document);
