--- a/packages/resources/Settings.h
+++ b/packages/resources/Settings.h
@@ -39,7 +39,7 @@
     Endpoint readiness; // the load balancer checks here whether to send new callers
     double strength = 0.2; // CPU cores that this host may use; hosts with more are preferred as coordinator
     Millis maxGrantHold { 10'000 }; // longest duration of one grant that servers accept
-    Millis leaderLease { 1'500 }; // of the coordinator; bounds the time to replace a failed one to about this
+    Millis leaderLease { 1'500 }; // of the coordinator; a failed coordinator is replaced after about this time
     Millis minStoreLease { 1'000 }; // shortest lease that the store accepts
     Millis leaveTimeout { 2'000 }; // from a server's leave notice until no new request may reach it
     Millis evacuationTimeout { 5'000 }; // from an evacuation order until no new request may reach the data centre
