--- a/packages/resources/ResourceCodec.cpp
+++ b/packages/resources/ResourceCodec.cpp
@@ -10,8 +10,6 @@
 namespace json = boost::json;
 namespace leaf = boost::leaf;
 
-// Sections: names, services, servers, evacuations, placements, documents, references.
-
 namespace {
 
     constexpr int64_t maxDeadlineMillis = 600'000;
@@ -20,8 +18,6 @@
     constexpr int64_t maxBodyBytes = 64'000'000;
     constexpr size_t maxNameLength = 63;
 
-    // --- Names
-
     // Allows letters, digits, '-', '_' and '.', so that names are safe in paths, headers and store keys.
     bool isName(std::string_view name)
     {
@@ -31,8 +27,6 @@
             [](unsigned char c) { return std::isalnum(c) || c == '-' || c == '_' || c == '.'; });
     }
 
-    // --- Services
-
     RouteRule readRoute(const json::object& object, const std::string& path, FieldError& fieldError)
     {
         FieldReader reader(object, path, fieldError);
@@ -77,8 +71,6 @@
         return service;
     }
 
-    // --- Servers
-
     ServerResource readServer(const std::string& name, const json::object& spec, FieldError& fieldError)
     {
         FieldReader reader(spec, "spec", fieldError);
@@ -98,8 +90,6 @@
         return server;
     }
 
-    // --- Evacuations
-
     // The resource has the name of its data centre; the spec has no fields.
     void readEvacuation(Resources& resources, const ResourceDocument& document, FieldError& fieldError)
     {
@@ -108,8 +98,6 @@
         resources.evacuations.insert(document.name);
     }
 
-    // --- Placements
-
     PlacementResource readPlacement(const std::string& name, const json::object& spec, FieldError& fieldError)
     {
         FieldReader reader(spec, "spec", fieldError);
@@ -130,8 +118,6 @@
 
 }
 
-// --- Documents
-
 std::string resourceKey(std::string_view kind, std::string_view name)
 {
     return std::string(storePrefix) + "resources/" + std::string(kind) + "/" + std::string(name);
@@ -240,8 +226,6 @@
     return json::serialize(object);
 }
 
-// --- References
-
 leaf::result<void> checkEvacuation(const Resources& resources, std::string_view dataCentre)
 {
     for (const auto& [name, server] : resources.servers) {
