--- a/packages/backends/Prober.cpp
+++ b/packages/backends/Prober.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    constexpr Millis delayAfterRefusal { 20 }; // a refusal comes at once: confirm it soon, without a busy loop
+    constexpr Millis delayAfterRefusal { 20 }; // a refusal arrives at once: this confirms it soon without a busy loop
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
 
     asio::awaitable<bool> refusesConnections(std::string address, uint16_t port, Millis timeout)
@@ -62,7 +62,7 @@
     if (reply.arrived()) {
         m_monitor.answered(m_clock.now());
     } else if (m_clock.now() - sentAt >= m_options.probeTimeout) {
-        // The next probe goes over a fresh connection: if that answers, only the old one had gone silent.
+        // The next probe uses a new connection at once: if the server answers there, only the old connection was dead.
         m_monitor.probeMissed(m_clock.now());
         delay = Millis(0);
     } else {
--- a/packages/backends/Prober.h
+++ b/packages/backends/Prober.h
@@ -1,6 +1,7 @@
-// Asks one backend server for its health, again and again, and feeds a ServerMonitor.
+// Probes the health endpoint of one backend server periodically and reports the outcomes to a ServerMonitor.
 //
-// Only whether an answer comes counts; what it says lags or misleads.
+// Any response counts as a success. Its status and body are ignored, because what health endpoints report lags or
+// misleads.
 #pragma once
 
 #include "base/Time.h"
@@ -15,8 +16,8 @@
 
 class Prober : public std::enable_shared_from_this<Prober> {
 public:
-    // `changed` is called after each probe that changed what the watch says. The watch may outlive nothing: call
-    // stop() before it goes.
+    // `onChange` is called after each probe that changed the monitor's reachability or whether the server accepts new
+    // work. Call stop() before the monitor is destroyed.
     Prober(boost::asio::any_io_executor, const Clock&, std::string ownHost, std::string address, uint16_t port,
         MonitorOptions, ServerMonitor&, std::function<void()> onChange);
     void start();
@@ -28,7 +29,7 @@
 
     boost::asio::any_io_executor m_executor;
     const Clock& m_clock;
-    std::string m_ownHost; // this host's name, told with each probe
+    std::string m_ownHost; // sent with each probe
     std::string m_address;
     uint16_t m_port;
     MonitorOptions m_options;
--- a/packages/backends/ServerPool.cpp
+++ b/packages/backends/ServerPool.cpp
@@ -19,11 +19,12 @@
 namespace {
 
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
-    constexpr uint64_t maxResponseBytes = 64'000'000; // bytes; a larger one is a bad answer
+    constexpr uint64_t maxResponseBytes = 64'000'000; // a larger response is ErrorKind::BadAnswer
     constexpr uint32_t maxResponseHeaderBytes = 64 * 1024;
-    constexpr Millis idleTimeoutMargin { 500 }; // before the time at which the server closes an idle connection
-    constexpr unsigned slotOvercommitFactor
-        = 1; // all hosts together may have this many times the slots in flight, each rounded up
+    constexpr Millis idleTimeoutMargin { 500 }; // a connection is not reused this shortly before the server closes it
+    // Limit of the requests in flight from all hosts, as a multiple of the server's slots. Each host's share is rounded
+    // up.
+    constexpr unsigned slotOvercommitFactor = 1;
 
 }
 
@@ -44,8 +45,8 @@
 
 namespace {
 
-    // The time after which the server closes the connection if it is idle, as "Keep-Alive: timeout=5" (RFC 2068,
-    // section 19.7.1.1); as good as forever if it says nothing.
+    // Idle time after which the server closes the connection, from a header such as "Keep-Alive: timeout=5" (RFC 2068,
+    // section 19.7.1.1); Millis::max() without that header.
     Millis keepAliveTimeoutOf(const BackendResponse& response)
     {
         const std::string_view text = response[http::field::keep_alive];
@@ -90,15 +91,15 @@
     BackendRequest& request, Millis timeout, std::string_view echoHeader)
 {
     ExchangeResult result;
-    m_reusable = false; // until a whole answer came
+    m_reusable = false; // until a complete response is received
     m_stream.expires_after(timeout);
     result.sent = true;
     const auto [writeError, bytesWritten] = co_await http::async_write(m_stream, request, token);
-    // A server may refuse a long request before it has read it, and close: its answer may wait although the rest of
-    // the body could not be written.
+    // A server may reject a long request before reading all of it and close the connection. Its response may then be
+    // readable although writing the body failed.
     beast::error_code error = writeError == beast::error::timeout ? writeError : beast::error_code {};
     bool sawStaleResponse = false;
-    constexpr int maxStaleResponses = 3; // more than a server ever has left over from earlier requests
+    constexpr int maxStaleResponses = 3; // more than a server has left over from earlier requests
     for (int i = 0; !error && i <= maxStaleResponses; ++i) {
         error = co_await readResponse(request, result.response);
         if (error || echoHeader.empty())
@@ -117,7 +118,7 @@
         co_return result;
     }
     m_serverIdleTimeout = keepAliveTimeoutOf(result.response);
-    // Bytes after the answer belong to no request: such a connection can't be trusted again.
+    // Bytes after the response belong to no request, so the connection is not reused.
     m_reusable = result.response.keep_alive() && !m_buffer.size() && !sawStaleResponse && !writeError;
     co_return result;
 }
@@ -197,7 +198,7 @@
         co_return AdmitResult::Admitted;
     m_admission->withdraw(ticket);
     if (waiter.shed && !waiter.evicted)
-        co_return AdmitResult::Refused; // one that is evicted as well may be served elsewhere
+        co_return AdmitResult::Refused; // a request that was also evicted may be served by another server
     co_return waiter.evicted ? AdmitResult::Evicted : AdmitResult::TimedOut;
 }
 
@@ -241,8 +242,8 @@
     while (!m_idleConnections.empty()) {
         ConnectionPointer connection = std::move(m_idleConnections.back());
         m_idleConnections.pop_back();
-        // Something between the two ends may have lost track of an idle connection: what is sent over it would
-        // go nowhere, and nobody could say whether it ran. A fresh connection costs about 1 ms.
+        // A device on the network path may have dropped the state of an idle connection. A request sent over it would
+        // be lost, and the host could not tell whether the request ran. A new connection costs about 1 ms.
         const Millis idle = now - connection->lastResponseAt;
         const bool closesSoon = connection->serverIdleTimeout() != Millis::max()
             && idle + idleTimeoutMargin >= connection->serverIdleTimeout();
--- a/packages/backends/ServerPool.h
+++ b/packages/backends/ServerPool.h
@@ -1,7 +1,7 @@
-// Connections to one backend server, and one exchange on one of them.
+// Connection pool and admission queue of one backend server.
 //
-// One exchange at a time on a connection. A connection that timed out or broke is closed, never used again, so
-// a late or crossed answer can't reach anybody. All on the routing thread.
+// A connection carries one exchange at a time. After a timeout or an error it is closed and never reused, so that a
+// late response can't be taken for the response to another request. All calls are made on the routing thread.
 #pragma once
 
 #include "base/ErrorKind.h"
@@ -27,11 +27,11 @@
 using BackendRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using BackendResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-// How an exchange ended.
+// Outcome of an exchange.
 struct ExchangeResult {
     ErrorKind error = ErrorKind::None;
     bool sent = false; // at least one byte may have reached the server
-    bool incomplete = false; // without a whole answer
+    bool incomplete = false; // no complete response was received
     BackendResponse response;
 };
 
@@ -39,17 +39,15 @@
 public:
     explicit BackendConnection(boost::asio::any_io_executor);
     boost::asio::awaitable<bool> connect(const ServerResource&, Millis timeout);
-    // `echoHeader`: the server repeats this header of the request in its answer. An answer with another value belongs
-    // to an earlier request and is dropped; the connection is not used again.
+    // `echoHeader`: name of a request header that the server repeats in its response. A response with another value
+    // belongs to an earlier request and is dropped; the connection is not reused.
     boost::asio::awaitable<ExchangeResult> exchange(BackendRequest&, Millis timeout, std::string_view echoHeader = {});
-    void cancelExchange() { m_stream.cancel(); } // ends a running exchange as if the connection were lost
+    void cancelExchange() { m_stream.cancel(); } // the exchange in progress fails as if the connection were lost
     bool reusable() const { return m_reusable; }
-    bool hasUnsolicitedInput(); // a byte or an end is waiting although nothing was asked
-    Instant lastResponseAt {};
-    Millis serverIdleTimeout() const
-    {
-        return m_serverIdleTimeout;
-    } // as the server's last answer said; it closes it after
+    bool hasUnsolicitedInput(); // data or end of stream arrived without a request
+    Instant lastResponseAt {}; // set when the connection returns to the pool
+    // Idle time after which the server closes the connection, as its last response said; Millis::max() if it said none.
+    Millis serverIdleTimeout() const { return m_serverIdleTimeout; }
 
 private:
     boost::asio::awaitable<boost::beast::error_code> readResponse(const BackendRequest&, BackendResponse&);
@@ -64,32 +62,32 @@
 
 class ServerPool {
 public:
-    ServerPool(boost::asio::any_io_executor, const Clock&, ServerResource, MonitorOptions, // with an Admission
+    // A non-idempotent request reuses only a connection that has been idle for at most `maxIdleNonIdempotent`.
+    ServerPool(boost::asio::any_io_executor, const Clock&, ServerResource, MonitorOptions,
         std::unique_ptr<SlotQueue> = std::make_unique<Admission>(AdmissionOptions {}),
-        Millis maxIdleNonIdempotent
-        = Millis(1'000)); // a non-idempotent request goes only over a connection that answered so lately
+        Millis maxIdleNonIdempotent = Millis(1'000));
 
     const ServerResource& server() const { return m_server; }
-    void update(const ServerResource&, size_t hosts); // new settings, and how many hosts share the server
-    void setLimit(double); // requests at once from this host, where it is not an even share
-    void setPermits(std::optional<unsigned>, Millis pause); // see SlotQueue
+    void update(const ServerResource&, size_t hosts); // applies new settings; `hosts` is how many share the server
+    void setLimit(double); // concurrent requests from this host, in place of its even share
+    void setPermits(std::optional<unsigned>, Millis pause); // see SlotQueue::setPermits()
     ServerMonitor& monitor() { return m_monitor; }
     const ServerMonitor& monitor() const { return m_monitor; }
 
-    // --- Slots. `admit` waits for one in the queue.
+    // --- Slots. admit() waits in the queue for a slot.
     enum class AdmitResult : uint8_t { Admitted, Refused, TimedOut, Evicted };
     boost::asio::awaitable<AdmitResult> admit(PriorityClass, Instant arrived, Instant deadline);
-    boost::asio::awaitable<AdmitResult> admit(SlotRequest); // its ticket is given here
-    void evictQueue(); // what waits here looks anew for its owner, and keeps its age
-    void release(PriorityClass, Millis took); // after each admit() that said Yes; 0: the slot was not used
+    boost::asio::awaitable<AdmitResult> admit(SlotRequest); // assigns the ticket
+    void evictQueue(); // ends all waits with Evicted; such a request looks up its owner again and keeps its age
+    void release(PriorityClass, Millis took); // after each admit() that returned Admitted; 0: the slot was not used
     Millis expectedWait(PriorityClass priority) const { return m_admission->expectedWait(priority); }
     const SlotQueue& admission() const { return *m_admission; }
 
-    // --- Connections. Null: could not connect.
+    // --- Connections. Null: the connection attempt failed.
     boost::asio::awaitable<ConnectionPointer> acquireConnection(bool idempotent, Millis timeout);
-    boost::asio::awaitable<ConnectionPointer> connect(Millis timeout); // a new one
+    boost::asio::awaitable<ConnectionPointer> connect(Millis timeout); // opens a new connection
     void returnConnection(ConnectionPointer);
-    void closeIdleConnections(); // the server went silent: its old connections may be dead for good
+    void closeIdleConnections(); // for a server that became unresponsive: its connections may be dead
 
 private:
     struct Waiter {
@@ -110,7 +108,7 @@
     Millis m_maxIdleNonIdempotent;
     std::unordered_map<TicketId, Waiter*> m_waiters;
     TicketId m_nextTicket = 1;
-    std::deque<ConnectionPointer> m_idleConnections; // newest last
+    std::deque<ConnectionPointer> m_idleConnections; // most recently used last
     size_t m_maxConnections = 1;
 };
 
--- a/packages/callers/CallerServer.cpp
+++ b/packages/callers/CallerServer.cpp
@@ -27,9 +27,10 @@
     constexpr std::string_view healthPath = "/cumindale/health";
     constexpr Instant noDeadline = Instant::max();
     constexpr Millis sessionCheckInterval { 50 };
-    constexpr Millis responseTimeout { 60'000 }; // for a caller to take its whole answer
-    constexpr size_t readChunkBytes = 4'096; // bytes
-    constexpr uint64_t chunkedReservationBytes = 1'000'000; // set aside for a body of unknown length
+    constexpr Millis responseTimeout { 60'000 }; // for a caller to receive its complete response
+    constexpr size_t readChunkBytes = 4'096;
+    // Memory reserved ahead of the bytes received, for a body of unknown length.
+    constexpr uint64_t chunkedReservationBytes = 1'000'000;
 
     using Parser = http::request_parser<http::string_body>;
 
@@ -42,14 +43,15 @@
         return ErrorKind::BadRequest;
     }
 
-    // Whether an answer can still be of use: the connection is there and the fault is the request's.
+    // Whether the request is malformed or too large while the connection still works, so that the caller can receive an
+    // error response.
     bool isParseError(beast::error_code error)
     {
         return error.category() == make_error_code(http::error::bad_method).category();
     }
 
-    // Framing that another parser on the way could read otherwise. Beast itself refuses two lengths and a length
-    // together with chunked.
+    // Whether another parser on the path could interpret the message framing differently (request smuggling). Beast
+    // itself rejects two Content-Length headers, and Content-Length together with chunked encoding.
     bool hasAmbiguousFraming(const CallerHeader& header)
     {
         const auto encodings = header.equal_range(http::field::transfer_encoding);
@@ -64,7 +66,7 @@
 
 namespace {
 
-    // Sets memory aside for one body and gives it back.
+    // Reserves memory for one body and releases it on destruction.
     class BodyReservation {
     public:
         explicit BodyReservation(size_t& used)
@@ -103,12 +105,12 @@
 struct CallerServer::Shared {
     struct Session {
         beast::tcp_stream stream;
-        Instant lastActivity {}; // opened, or its last answer written
-        Instant deadline = noDeadline; // of what it waits for now
+        Instant lastActivity {}; // when the connection was opened, or last became busy or idle
+        Instant deadline = noDeadline; // of the operation in progress
         bool timedOut = false;
-        CallerConnection* activeCaller = nullptr; // while the handler works for it
-        bool busy = false; // a request has begun and its answer is not yet written
-        std::string address {}; // of the caller
+        CallerConnection* activeCaller = nullptr; // not null while the handler processes a request
+        bool busy = false; // a request has begun and its response is not completely written
+        std::string address {}; // the caller's IP address
     };
 
     tcp::acceptor acceptor;
@@ -139,20 +141,20 @@
     static asio::awaitable<void> acceptCallers(std::shared_ptr<Shared>);
     static asio::awaitable<void> monitorSessions(std::shared_ptr<Shared>);
     static asio::awaitable<void> serveConnection(std::shared_ptr<Shared>, std::list<Session>::iterator);
-    // Each of these returns false when the connection has ended, or must.
+    // Each of these returns false if the connection has ended or must be closed.
     static asio::awaitable<bool> serveRequest(Shared&, Session&, beast::flat_buffer&);
     static asio::awaitable<bool> waitForRequest(Shared&, Session&, beast::flat_buffer&);
     static asio::awaitable<bool> sendContinue(Session&);
     static asio::awaitable<bool> refuse(Shared&, Session&, Parser&, ErrorKind);
     static asio::awaitable<bool> writeResponse(Shared&, Session&, CallerResponse&, bool keepAlive);
 
-    // These return what is wrong with the request; ConnectionLost: nobody is there to be told.
+    // These return the error of the request. ConnectionLost: no response can be sent.
     static asio::awaitable<ErrorKind> readHeader(Shared&, Session&, beast::flat_buffer&, Parser&);
     static ErrorKind admit(Shared&, Parser&);
     static asio::awaitable<ErrorKind> readBody(Shared&, Session&, beast::flat_buffer&, Parser&, BodyReservation&);
 };
 
-// Reads the body in pieces, so that memory and time are checked as it grows.
+// Reads the body in chunks and checks the memory limit and the timeout for each.
 asio::awaitable<ErrorKind> CallerServer::Shared::readBody(
     Shared& shared, Session& session, beast::flat_buffer& buffer, Parser& parser, BodyReservation& reservation)
 {
@@ -174,7 +176,7 @@
     co_return ErrorKind::None;
 }
 
-// Writes an answer; false if the connection ends with it.
+// Writes a response; false if the connection must be closed after it.
 asio::awaitable<bool> CallerServer::Shared::writeResponse(
     Shared& shared, Session& session, CallerResponse& response, bool keepAlive)
 {
@@ -188,7 +190,7 @@
 asio::awaitable<bool> CallerServer::Shared::waitForRequest(Shared& shared, Session& session, beast::flat_buffer& buffer)
 {
     if (buffer.size())
-        co_return true; // came together with the one before
+        co_return true; // received together with the previous request
     shared.setTimeout(session, shared.limits.idleTimeout);
     const auto [error, bytesRead] = co_await session.stream.async_read_some(buffer.prepare(readChunkBytes), token);
     buffer.commit(bytesRead);
@@ -208,7 +210,7 @@
     co_return isParseError(error) ? readErrorKind(error) : ErrorKind::ConnectionLost;
 }
 
-// Whether the body is to be read, from the header alone.
+// Decides from the header alone whether to read the body.
 ErrorKind CallerServer::Shared::admit(Shared& shared, Parser& parser)
 {
     const BodyPolicy policy = shared.handler.bodyPolicy(parser.get().base());
@@ -231,7 +233,7 @@
 
 asio::awaitable<bool> CallerServer::Shared::refuse(Shared& shared, Session& session, Parser& parser, ErrorKind kind)
 {
-    // With a part of the request unread, the connection can't carry another one.
+    // If part of the request is unread, the connection can't carry another request.
     const bool keepAlive = parser.is_done() && parser.keep_alive();
     auto response = shared.handler.errorResponse(kind);
     if (parser.get().method() == http::verb::head)
@@ -274,7 +276,7 @@
     auto response = co_await shared.handler.handle(request, caller);
     session.activeCaller = nullptr;
     if (head)
-        response.body().clear(); // a body after the answer to HEAD would be taken for the next answer
+        response.body().clear(); // the caller would parse a body after a HEAD response as the next response
     co_return co_await writeResponse(shared, session, response, keepAlive);
 }
 
@@ -282,7 +284,8 @@
     std::shared_ptr<Shared> shared, std::list<Session>::iterator session)
 {
     beast::flat_buffer buffer;
-    beast::error_code endpointError; // the caller has left already: the address stays empty, and nothing is served
+    // If the caller has disconnected already, its address stays empty and no request is served.
+    beast::error_code endpointError;
     const auto endpoint = session->stream.socket().remote_endpoint(endpointError);
     if (!endpointError)
         session->address = endpoint.address().to_string();
@@ -290,7 +293,7 @@
         while (co_await serveRequest(*shared, *session, buffer))
             shared->setBusy(*session, false);
     } catch (const std::exception& exception) {
-        // Only this caller's connection ends; the others go on.
+        // Only this caller's connection is closed.
         logChange(LogLevel::Error, "session-failed", { { "why", exception.what() } });
     }
     shared->setBusy(*session, false);
@@ -299,8 +302,8 @@
     shared->sessions.erase(session);
 }
 
-// One look over all sessions instead of a timer for each: a cancelled read leaves the connection open, so that
-// its caller still gets a 408.
+// Detects disconnected callers and cancels operations whose deadline has passed. One loop checks all sessions, in place
+// of a stream timeout for each: cancelling a read leaves the connection open, so that the caller still gets a 408.
 asio::awaitable<void> CallerServer::Shared::monitorSessions(std::shared_ptr<Shared> shared)
 {
     while (shared->acceptor.is_open() || !shared->sessions.empty()) {
@@ -329,7 +332,7 @@
             co_return;
         if (shared->sessions.size() >= shared->limits.connections) {
             shared->refusedConnections.add();
-            continue; // closes it: the balancer tries another host
+            continue; // closes the socket: the load balancer tries another host
         }
         const auto executor = shared->acceptor.get_executor();
         shared->sessions.push_back({ beast::tcp_stream(std::move(*socket)), shared->clock.now() });
@@ -365,8 +368,8 @@
 
 void CallerServer::closeIdle(Millis idleFor)
 {
-    // A request on its way to a connection that is being closed would be cut, and its caller could not say
-    // whether it ran. So only what the balancer has left alone for a while is closed.
+    // If a connection is closed while a request is on the way to it, the caller can't tell whether the request ran.
+    // Only connections that the load balancer hasn't used for a while are closed for this reason.
     const Instant now = m_shared->clock.now();
     for (auto& session : m_shared->sessions) {
         if (!session.busy && now - session.lastActivity >= idleFor)
