--- a/apps/cumindalectl/Commands.cpp
+++ b/apps/cumindalectl/Commands.cpp
@@ -19,10 +19,6 @@
 namespace http = boost::beast::http;
 namespace json = boost::json;
 
-// Sections: asking, printing, commands.
-
-// --- Asking
-
 namespace {
 
     constexpr Millis callTimeout { 40'000 };
@@ -81,8 +77,6 @@
         return id.str();
     }
 
-    // --- Printing
-
     std::string plain(const json::value& value)
     {
         return value.is_string() ? std::string(value.get_string()) : json::serialize(value);
@@ -106,7 +100,7 @@
     int show(const CommandOptions& options, const HttpReply& reply)
     {
         if (!reply.arrived()) {
-            std::cerr << "cumindalectl: no answer from " << options.address << ':' << options.port << '\n';
+            std::cerr << "cumindalectl: no response from " << options.address << ':' << options.port << '\n';
             return ExitUnavailable;
         }
         const int status = statusOf(reply);
@@ -129,8 +123,6 @@
         return ExitUsage;
     }
 
-    // --- Commands
-
     int get(const CommandOptions& options, const std::vector<std::string>& words)
     {
         std::string target = "/v1/resources";
@@ -146,7 +138,7 @@
                 return show(options, reply);
             }
         }
-        std::cerr << "cumindalectl: there is no " << words[1] << ' ' << words[2] << '\n';
+        std::cerr << "cumindalectl: not found: " << words[1] << ' ' << words[2] << '\n';
         return ExitRefused;
     }
 
@@ -178,7 +170,7 @@
                 callFor(options, http::verb::put, target, json::serialize(toJson(document)))));
     }
 
-    // One resource, or {"resources": [...]} with several, applied in order until one fails.
+    // The input is one resource, or {"resources": [...]} with several, which are applied in order until one fails.
     int apply(const CommandOptions& options)
     {
         std::ostringstream text;
@@ -188,7 +180,7 @@
             std::ifstream in(options.file);
             text << in.rdbuf();
             if (options.file.empty() || !in) {
-                std::cerr << "cumindalectl: apply needs --file FILE that can be read, or --file=- for standard input\n";
+                std::cerr << "cumindalectl: apply needs a readable --file FILE, or --file=- for standard input\n";
                 return ExitUsage;
             }
         }
@@ -240,8 +232,7 @@
         return show(options, ask(options.address, options.port, callFor(options, http::verb::get, target)));
     }
 
-    // Leaving is a wish on the server's resource: read it, set it, write it back if nobody has changed it meanwhile.
-    // Requests that crash servers, on a host with a gateway.
+    // Lists or clears quarantined requests, which have crashed servers. Only hosts with a gateway have them.
     int quarantine(const CommandOptions& options, const std::vector<std::string>& words)
     {
         const std::string target = "/v1/quarantine";
@@ -262,6 +253,7 @@
         return applyOne(options, json::serialize(resource));
     }
 
+    // Sets the state of the server's resource to leaving. The write fails if the resource has changed since the read.
     int drain(const CommandOptions& options, const std::vector<std::string>& words)
     {
         if (words.size() != 2)
@@ -281,11 +273,11 @@
             item.as_object().erase("revision");
             return applyOne(conditional, json::serialize(item));
         }
-        std::cerr << "cumindalectl: there is no BackendServer " << words[1] << '\n';
+        std::cerr << "cumindalectl: not found: BackendServer " << words[1] << '\n';
         return ExitRefused;
     }
 
-    // A request's spans lie on the hosts that it passed: all of them are asked.
+    // Each host stores only its own spans of a request, so the command queries every host and merges the results.
     int trace(const CommandOptions& options, const std::vector<std::string>& words)
     {
         if (words.size() != 2)
--- a/apps/cumindalectl/Commands.h
+++ b/apps/cumindalectl/Commands.h
@@ -1,4 +1,4 @@
-// The commands of cumindalectl. Each asks the administration API of one host and prints the answer.
+// The commands of cumindalectl. Each calls the administration API of a host and prints the response.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,22 @@
 // Exit statuses, documented in docs/OPERATIONS.md.
 enum ExitStatus : int {
     ExitOk = 0,
-    ExitRefused = 1, // the API refused: invalid, unauthorized, not found
+    ExitRefused = 1, // the API rejected the request: invalid, unauthorized or not found
     ExitUsage = 2,
     ExitConflict = 3, // the resource is at another revision than expected
-    ExitUnavailable = 4, // no answer, or the store is away; try again
-    ExitNotInForce = 5, // written, but not in force everywhere within the wait
+    ExitUnavailable = 4, // no response, or the store is unavailable: retry
+    ExitNotInForce = 5, // written, but not in force on every host before the timeout
 };
 
 struct CommandOptions {
-    std::string address = "127.0.0.1"; // operators' endpoint of a host
+    std::string address = "127.0.0.1"; // of a host's administration API
     uint16_t port = 7103;
     std::string token;
-    bool table = false; // output form: table or json
+    bool table = false; // prints a table instead of JSON
     bool wait = false;
-    std::string file; // resources to apply; "-" is standard input
+    std::string file; // resources to apply; "-" reads standard input
     std::optional<int64_t> expectedRevision;
-    std::string operationId; // empty: a new one
+    std::string operationId; // empty: generates an id
     std::string service;
 };
 
--- a/apps/cumindalectl/main.cpp
+++ b/apps/cumindalectl/main.cpp
@@ -1,4 +1,4 @@
-// cumindalectl: the operators' and developers' command line.
+// cumindalectl: command line client for operators and developers.
 #include "Commands.h"
 
 #include <absl/flags/flag.h>
@@ -8,15 +8,15 @@
 #include <charconv>
 #include <iostream>
 
-ABSL_FLAG(std::string, host, "127.0.0.1:7103", "operators' endpoint of an entry host, ADDRESS:PORT");
+ABSL_FLAG(std::string, host, "127.0.0.1:7103", "administration API of an entry host, ADDRESS:PORT");
 ABSL_FLAG(std::string, token, "", "bearer token for writes; the host's operatorToken");
-ABSL_FLAG(std::string, output, "json", "json or table");
-ABSL_FLAG(std::string, file, "", "apply: file with one resource or {\"resources\": [...]}; - is standard input");
+ABSL_FLAG(std::string, output, "json", "output format: json or table");
+ABSL_FLAG(std::string, file, "", "apply: file with one resource or {\"resources\": [...]}; - reads standard input");
 ABSL_FLAG(std::string, service, "", "explain: the service that the key belongs to");
 ABSL_FLAG(
-    std::string, operation_id, "", "apply, delete: names the write, so that a repeated try is not a second write");
+    std::string, operation_id, "", "apply, delete: id of the write; a retry with the same id is not written twice");
 ABSL_FLAG(int64_t, expected_revision, -1, "apply, delete: write only if the resource is at this revision; 0: absent");
-ABSL_FLAG(bool, wait, false, "apply, delete: wait until it is in force on every host");
+ABSL_FLAG(bool, wait, false, "apply, delete: wait until the write is in force on every host");
 
 namespace {
 
@@ -36,7 +36,7 @@
 int main(int argc, char** argv)
 {
     absl::SetProgramUsageMessage(
-        "asks and changes a cumindale system.\n"
+        "queries and changes a cumindale system.\n"
         "  cumindalectl get [KIND [NAME]]\n"
         "  cumindalectl apply --file FILE [--expected_revision N] [--wait]\n"
         "  cumindalectl delete KIND NAME [--expected_revision N] [--wait]\n"
@@ -47,7 +47,7 @@
         "  cumindalectl trace TRACE-ID\n"
         "  cumindalectl evacuate DATA-CENTRE [--wait]; taken back by delete Evacuation DATA-CENTRE\n"
         "  cumindalectl quarantine list | quarantine clear REQUEST\n"
-        "Exit status: 0 done, 1 refused, 2 bad usage, 3 conflict, 4 unavailable, 5 not yet in force.");
+        "Exit status: 0 done, 1 rejected, 2 bad usage, 3 conflict, 4 unavailable, 5 not yet in force.");
     absl::FlagsUsageConfig config;
     config.version_string = [] { return std::string("cumindalectl " CUMINDALE_VERSION "\n"); };
     absl::SetFlagsUsageConfig(config);
@@ -55,12 +55,12 @@
 
     cumindale::CommandOptions options;
     if (!readEndpoint(absl::GetFlag(FLAGS_host), options)) {
-        std::cerr << "cumindalectl: --host: ADDRESS:PORT\n";
+        std::cerr << "cumindalectl: --host must be ADDRESS:PORT\n";
         return cumindale::ExitUsage;
     }
     const std::string output = absl::GetFlag(FLAGS_output);
     if (output != "json" && output != "table") {
-        std::cerr << "cumindalectl: --output: json or table\n";
+        std::cerr << "cumindalectl: --output must be json or table\n";
         return cumindale::ExitUsage;
     }
     options.table = output == "table";
--- a/apps/cumindaled/Duties.h
+++ b/apps/cumindaled/Duties.h
@@ -1,4 +1,4 @@
-// What both kinds of host need to run their duties.
+// Event loops, caller limits and draining for both kinds of host.
 #pragma once
 
 #include "base/Metrics.h"
@@ -10,19 +10,19 @@
 
 namespace cumindale {
 
-constexpr size_t ringCapacity = 4096; // messages between two duties
-constexpr int singleThread = 1; // hint for each duty's context
+constexpr size_t ringCapacity = 4096; // messages queued between two threads
+constexpr int singleThread = 1; // concurrency hint for each thread's io_context
 
-void runDuty(boost::asio::io_context&); // until it is stopped
+void runDuty(boost::asio::io_context&); // returns when the context is stopped
 CallerLimits callerLimits(const LimitSettings&);
 
 struct DrainTiming {
-    Millis balancerNotices { 2'000 }; // after health has turned, callers may still come for this long
-    Millis quietBeforeClose { 1'000 }; // a connection unused for so long is closed
+    Millis balancerNotices { 2'000 }; // how long new connections may arrive after the health check fails
+    Millis quietBeforeClose { 1'000 }; // connections idle for this long are closed
 };
 
-// Lets the balancer see that the host leaves, then waits for every request that it accepted, without a cap: a slow
-// upload is waited for, however long it takes.
+// Fails the health check so that the load balancer removes the host, then waits for every accepted request. There is no
+// timeout, so that slow uploads can finish.
 boost::asio::awaitable<void> finishCallers(CallerServer&, DrainTiming);
 
 }
--- a/apps/cumindaled/GatewayHost.cpp
+++ b/apps/cumindaled/GatewayHost.cpp
@@ -23,8 +23,8 @@
 
 namespace {
 
-    // The balancer asks once a second and takes a host out after two misses: a host that stops goes on accepting for
-    // that long, and closes what is idle then.
+    // The load balancer checks readiness once a second and removes a host after two failures. A draining host accepts
+    // connections for that long and then closes idle ones.
     constexpr DrainTiming gatewayDrain { Millis(2'200), Millis(600) };
 
     GatewayOptions gatewayOptions(const Settings& settings)
@@ -101,24 +101,24 @@
             co_return makeResponse(404, "{}");
         }
 
-        // GET lists; DELETE with `request` in the query lets that one go to servers again.
+        // GET lists quarantined requests. DELETE releases the one in the query parameter `request`.
         asio::awaitable<std::optional<ServedResponse>> answerQuarantine(const ServedRequest& request, Target target)
         {
             if (request.method() == boost::beast::http::verb::get)
                 co_return makeResponse(200, co_await asio::co_spawn(m_control, quarantine(), asio::use_awaitable));
             const std::string& token = m_settings.host.operatorToken;
             if (!token.empty() && request[boost::beast::http::field::authorization] != "Bearer " + token)
-                co_return makeResponse(401, "{\"error\":\"the operators' token is needed\"}\n");
+                co_return makeResponse(401, "{\"error\":\"operator token required\"}\n");
             const auto fingerprint = fingerprintIn(target.parameter("request"));
             if (request.method() != boost::beast::http::verb::delete_ || !fingerprint)
-                co_return makeResponse(400, "{\"error\":\"request: 16 hexadecimal digits\"}\n");
+                co_return makeResponse(400, "{\"error\":\"request: must be 16 hexadecimal digits\"}\n");
             asio::post(m_control, [this, fingerprint] { m_controlDuty.releaseFromQuarantine(*fingerprint); });
             co_return makeResponse(200, "{}\n");
         }
 
         asio::awaitable<std::string> quarantine() { co_return m_controlDuty.quarantineText(); }
 
-        // On the control duty's thread, whose state it shows.
+        // Runs on the control thread, which owns the state.
         asio::awaitable<std::string> status() { co_return m_controlDuty.statusText(); }
 
         void drainToRouting()
@@ -137,7 +137,7 @@
             CallerLimits limits = callerLimits(m_settings.limits);
             limits.headerBytes = bounds.headerBytes;
             limits.headerTimeout = bounds.headerTimeout;
-            // A caller may use a connection until the limit; closed right then it could cross a request.
+            // Callers may send a request until the idle limit. Closing the connection exactly then could race with one.
             constexpr Millis crossing { 1'000 };
             limits.idleTimeout = bounds.idleTimeout + crossing;
             m_callers.setLimits(limits);
@@ -148,7 +148,7 @@
             m_signals.async_wait([this](boost::system::error_code error, int signal) {
                 if (error)
                     return;
-                // A second signal must cut nothing either: it is waited for and ignored.
+                // Keep handling signals while draining: a second SIGTERM or SIGINT must not abort requests.
                 waitForSignal();
                 if (signal == SIGHUP) {
                     logChange(LogLevel::Info, "settings-reload", { { "file", m_file } });
@@ -165,7 +165,9 @@
 
         asio::awaitable<void> drain()
         {
-            constexpr Millis beforeTheEnd { 500 }; // it is killed then; the last lines must be out
+            constexpr Millis beforeTheEnd {
+                500
+            }; // the process is killed when the grace period ends; the last log lines must be written before
             const Instant until = m_clock.now() + m_settings.gateway->grace - beforeTheEnd;
             asio::co_spawn(m_control, m_controlDuty.leave(until), [this](std::exception_ptr) { m_left = true; });
             co_await finishCallers(m_callers, gatewayDrain);
@@ -194,7 +196,7 @@
         HttpServer m_admin;
         asio::signal_set m_signals;
         std::atomic<bool> m_ready { false };
-        std::atomic<bool> m_left { false }; // the coordinator's office, while draining
+        std::atomic<bool> m_left { false }; // set while draining, when GatewayControl::leave has finished
         bool m_draining = false;
     };
 
--- a/apps/cumindaled/Host.cpp
+++ b/apps/cumindaled/Host.cpp
@@ -86,7 +86,7 @@
             m_signals.async_wait([this](boost::system::error_code error, int) {
                 if (error)
                     return;
-                // A second signal must cut nothing either: it is waited for and ignored.
+                // Keep handling signals while draining: a second SIGTERM or SIGINT must not abort requests.
                 waitForSignal();
                 if (m_draining)
                     return;
--- a/apps/cumindaled/Host.h
+++ b/apps/cumindaled/Host.h
@@ -1,6 +1,6 @@
-// One entry host: the duties, a thread for each, joined by bounded rings.
+// An entry host. Each of these tasks has a thread; the threads exchange messages through bounded rings.
 //
-//     routing    callers, backend servers, decisions for each request
+//     routing    connections of callers and backend servers, routing of each request
 //     control    store, peers, election, assigner
 //     operators  administration API, metrics
 #pragma once
@@ -9,7 +9,7 @@
 
 namespace cumindale {
 
-// Runs until SIGTERM or SIGINT, then finishes every request it accepted. Returns the exit status.
+// Runs until SIGTERM or SIGINT, then finishes every accepted request. Returns the exit status.
 int runHost(const Settings&);
 
 }
--- a/apps/cumindaled/main.cpp
+++ b/apps/cumindaled/main.cpp
@@ -1,6 +1,6 @@
-// cumindaled: the one process on every entry host.
+// cumindaled: the daemon that runs on every entry host.
 //
-// Exit status: 0 stopped or checked, 1 failed while running, 2 bad command line or settings.
+// Exit status: 0 stopped normally or settings valid, 1 failed while running, 2 invalid command line or settings.
 #include "GatewayHost.h"
 #include "Host.h"
 
@@ -27,7 +27,7 @@
 
 int main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage("routes callers' requests to the one owner of each key.\n"
+    absl::SetProgramUsageMessage("routes callers' requests to the single owner of each key.\n"
                                  "  cumindaled --settings FILE [--check]");
     absl::FlagsUsageConfig config;
     config.version_string = [] { return std::string("cumindaled " CUMINDALE_VERSION "\n"); };
--- a/packages/operators/AdminServer.cpp
+++ b/packages/operators/AdminServer.cpp
@@ -34,7 +34,7 @@
         return jsonAnswer(status, more);
     }
 
-    // Texts of equal length compare in a time that does not tell where they differ.
+    // For texts of equal length, the duration of the comparison doesn't depend on where they differ.
     bool sameSecret(std::string_view a, std::string_view b)
     {
         unsigned difference = a.size() == b.size() ? 0 : 1;
@@ -59,7 +59,7 @@
         for (const auto& entry : entries) {
             if (!kind.empty() && kind != entry.kind)
                 continue;
-            FieldFault none; // it was parsed before it came here
+            FieldFault none; // unused: stored entries have been parsed already
             json::object object = parseObject(entry.text, none);
             object.erase("operationId");
             object["revision"] = entry.revision;
@@ -98,7 +98,7 @@
     if (path.starts_with(std::string(resourcesPath) + "/"))
         co_return co_await write(request, target);
     if (request.method() != http::verb::get)
-        co_return errorAnswer(405, "method-not-allowed", "only GET here");
+        co_return errorAnswer(405, "method-not-allowed", "this path supports only GET");
     if (path == resourcesPath)
         co_return co_await list(target);
     if (path == "/v1/status")
@@ -116,11 +116,11 @@
 {
     const std::string kind = target.parameter("kind");
     if (!kind.empty() && !isKind(kind))
-        co_return errorAnswer(400, "bad-parameter", "kind: Service, BackendServer or Placement");
+        co_return errorAnswer(400, "bad-parameter", "kind: must be Service, BackendServer or Placement");
     const std::string after = target.parameter("afterRevision");
     const auto afterRevision = parseNumber(after.empty() ? "0" : after);
     if (!afterRevision)
-        co_return errorAnswer(400, "bad-parameter", "afterRevision: a whole number");
+        co_return errorAnswer(400, "bad-parameter", "afterRevision: must be a non-negative integer");
     const Instant end = m_clock.now() + (after.empty() ? Millis(0) : longestPoll);
     auto snapshot = m_board.read();
     while (m_clock.now() < end && snapshot->resources && snapshot->resources->revision <= *afterRevision) {
@@ -137,9 +137,10 @@
 {
     const bool erase = request.method() == http::verb::delete_;
     if (!erase && request.method() != http::verb::put)
-        co_return errorAnswer(405, "method-not-allowed", "PUT or DELETE here; GET /v1/resources lists");
+        co_return errorAnswer(
+            405, "method-not-allowed", "this path supports only PUT and DELETE; GET /v1/resources lists resources");
     if (!mayWrite(request))
-        co_return errorAnswer(401, "unauthorized", "writes need the settings' operatorToken as a bearer token");
+        co_return errorAnswer(401, "unauthorized", "writes need the operatorToken of the settings as a bearer token");
     const std::string rest = target.path.substr(resourcesPath.size() + 1);
     const auto slash = rest.find('/');
     WriteOrder order;
@@ -151,11 +152,11 @@
     const std::string expected = target.parameter("expectedRevision");
     order.expectedRevision = parseNumber(expected);
     if (!expected.empty() && !order.expectedRevision)
-        co_return errorAnswer(400, "bad-parameter", "expectedRevision: a whole number");
+        co_return errorAnswer(400, "bad-parameter", "expectedRevision: must be a non-negative integer");
     order.operationId = target.parameter("operationId");
     if (order.operationId.empty() || order.operationId.size() > 64)
         co_return errorAnswer(
-            400, "bad-parameter", "operationId: required, 1 to 64 characters, the same for a repeated try");
+            400, "bad-parameter", "operationId: required, 1 to 64 characters; a retry must use the same one");
     if (!erase) {
         const ResourceDocument named = order.document;
         const auto fault = faultIn([&]() -> boost::leaf::result<void> {
@@ -165,7 +166,7 @@
         if (fault)
             co_return errorAnswer(400, "invalid", fault->text(), { { "field", fault->field } });
         if (order.document.kind != named.kind || order.document.name != named.name)
-            co_return errorAnswer(400, "invalid", "kind and name must be those of the path");
+            co_return errorAnswer(400, "invalid", "kind and name must match the path");
     }
     const WriteResult result = co_await m_writer.write(order, writeWithin);
     switch (result.outcome) {
@@ -182,13 +183,13 @@
     case WriteOutcome::Invalid:
         co_return errorAnswer(400, "invalid", result.fault.text(), { { "field", result.fault.field } });
     case WriteOutcome::NotFound:
-        co_return errorAnswer(404, "not-found", "there is no such resource");
+        co_return errorAnswer(404, "not-found", "the resource does not exist");
     case WriteOutcome::StoreUnavailable:
-        co_return errorAnswer(503, "store-unavailable", "nothing was written; try again");
+        co_return errorAnswer(503, "store-unavailable", "nothing was written; retry the request");
     case WriteOutcome::Unknown:
         break;
     }
-    co_return errorAnswer(504, "unknown", "the store went silent in the write; repeat it with the same operationId");
+    co_return errorAnswer(504, "unknown", "the store did not answer the write; retry with the same operationId");
 }
 
 asio::awaitable<ServedResponse> AdminServer::waitInForce(WriteResult result, Millis within)
--- a/packages/operators/AdminServer.h
+++ b/packages/operators/AdminServer.h
@@ -1,4 +1,4 @@
-// Administration API, HTTP/JSON. Reads are open on its address; writes need the settings' bearer token.
+// Administration API over HTTP and JSON. Reads need no authentication; writes need the bearer token from the settings.
 // docs/OPERATIONS.md lists every call and error.
 #pragma once
 
--- a/packages/operators/ResourceWriter.cpp
+++ b/packages/operators/ResourceWriter.cpp
@@ -23,13 +23,13 @@
 
     std::string guardKey() { return std::string(resourcesPrefix()).append(".guard"); }
 
-    // One committed write, as the guard remembers it. The revision is that of the guard before the write: the
-    // write's own is not known before it is made, but it is the next one of the guard key.
+    // All resources and the guard key as of one read of the store. `guardRevision` is the guard's revision before the
+    // write: the revision of the write is unknown until the commit, but will be the next revision of the guard key.
     struct Snapshot {
         Resources resources;
         std::map<std::string, KeyValue> documents;
         int64_t guardRevision = 0;
-        std::vector<std::string> operations; // newest last
+        std::vector<std::string> operations; // ids of recent committed operations, newest last
     };
 
     Snapshot readSnapshot(const RangeReply& reply)
@@ -49,7 +49,8 @@
                 continue;
             }
             snapshot.documents[value.key] = value;
-            // A faulty value, written past this API, must not block all others; hosts refuse and report it.
+            // An invalid value that was written without this API must not block all other writes; hosts reject and
+            // report it.
             faultIn([&]() -> boost::leaf::result<void> {
                 BOOST_LEAF_AUTO(stored, parseStored(value.value));
                 return addToResources(snapshot.resources, stored.document);
@@ -98,7 +99,7 @@
         });
     }
 
-    // Built outside the coroutine: g++ 12 mishandles lists of temporaries inside one.
+    // Separate from the coroutine because g++ 12 miscompiles initializer lists of temporaries in coroutines.
     std::vector<Compare> conditionsFor(const std::string& key, int64_t current, const Snapshot& snapshot)
     {
         return { { guardKey(), snapshot.guardRevision }, { key, current } };
@@ -149,7 +150,7 @@
         const TxnReply written = co_await m_store.txn(conditions, writes, callTimeout);
         if (written.status == StoreStatus::Ok && written.succeeded)
             co_return WriteResult { WriteOutcome::Committed, written.revision, {} };
-        // Lost answer, or somebody else wrote: the next reading tells which.
+        // Either the reply was lost or a concurrent write was committed first: the next read shows which.
         if (written.status != StoreStatus::Ok) {
             maybeWritten = true;
             co_await sleepFor(pauseAfterSilence);
--- a/packages/operators/ResourceWriter.h
+++ b/packages/operators/ResourceWriter.h
@@ -1,8 +1,9 @@
-// Writes operators' resources to the store: checked, conditional, and sure of what became of a write.
+// Validates operators' resources and writes them to the store with optimistic concurrency control. Writes are
+// idempotent by operation id.
 //
-// All writes go through one guard key, compared and rewritten in the same transaction. So references are
-// checked against exactly what the write commits upon, and the guard's list of recent operations tells whether
-// a write whose answer was lost took effect, even if somebody has overwritten it since.
+// Every write compares and rewrites one guard key in the same transaction. References between resources are therefore
+// validated against exactly the state that the write is based on. The guard's value lists recent operation ids, which
+// shows whether a write whose reply was lost was committed, even if another write has overwritten the resource since.
 #pragma once
 
 #include "base/Metrics.h"
@@ -16,23 +17,23 @@
 enum class WriteOutcome : uint8_t {
     Committed,
     Conflict, // the resource is at another revision than expected
-    Invalid, // it, or what it refers to, is faulty
-    NotFound, // erasing what is not there
-    StoreUnavailable, // surely not written
-    Unknown, // the store went silent in the write: ask again with the same operation id
+    Invalid, // the resource or one of its references is invalid
+    NotFound, // the resource to be erased does not exist
+    StoreUnavailable, // definitely not written
+    Unknown, // the store did not answer, the write may be committed: retry with the same operation id
 };
 
 struct WriteResult {
     WriteOutcome outcome = WriteOutcome::StoreUnavailable;
-    int64_t revision = 0; // committed: of the write; conflict: the current one, 0 if absent
+    int64_t revision = 0; // Committed: revision of the write; Conflict: current revision, 0 if absent
     FieldFault fault; // for Invalid
 };
 
 struct WriteOrder {
-    ResourceDocument document; // spec unused when erasing
+    ResourceDocument document; // spec is ignored if `erase` is set
     bool erase = false;
-    std::optional<int64_t> expectedRevision; // 0: must not exist; nothing: whatever is there
-    std::string operationId; // chosen by the operator's client; the same for a repeated try
+    std::optional<int64_t> expectedRevision; // 0: must not exist; nullopt: unconditional write
+    std::string operationId; // chosen by the client; a retry uses the same id
 };
 
 class ResourceWriter {
--- a/packages/operators/StatusJson.cpp
+++ b/packages/operators/StatusJson.cpp
@@ -77,7 +77,8 @@
             }
             service["tableVersion"] = table->version;
             service["slices"] = table->slices.size();
-            service["ownersGiven"] = table->nextFence - 1; // since the service was declared
+            service["ownersGiven"]
+                = table->nextFence - 1; // count of ownership assignments since the service was declared
             for (const auto& [state, count] : states)
                 service[state] = count;
             json::object servers;
@@ -91,7 +92,8 @@
         return services;
     }
 
-    // Slices that are still owned there: 0 once nothing is sent any more.
+    // Counts, for each evacuated data centre, the slices whose owner is still there. At 0, no more requests are sent
+    // there.
     json::object evacuationsJson(const StatusSnapshot& snapshot)
     {
         json::object evacuated;
@@ -140,7 +142,7 @@
     answer["point"] = pointText(point);
     const auto table = snapshot.tables.find(service);
     if (table == snapshot.tables.end()) {
-        answer["why"] = "no table: the service is not declared, or has no servers yet";
+        answer["why"] = "no table: the service is not declared or has no servers yet";
         return answer;
     }
     const size_t index = table->second->indexOf(point);
@@ -156,9 +158,9 @@
         answer["why"] = "moving: stopped in version " + std::to_string(slice.stoppedInVersion)
             + "; the successor owns it once no work of the owner can be in flight";
     else if (slice.state == SliceState::Unowned)
-        answer["why"] = "no server is legal for it now";
+        answer["why"] = "unowned: no server is eligible for this slice";
     else
-        answer["why"] = "the owner serves it";
+        answer["why"] = "the owner serves this slice";
     return answer;
 }
 
--- a/packages/operators/StatusJson.h
+++ b/packages/operators/StatusJson.h
@@ -1,4 +1,4 @@
-// The system's state as JSON: what `status`, `explain` and `get` show.
+// Formats the system's state as JSON for the commands `status`, `explain` and `get`.
 #pragma once
 
 #include "control/StatusBoard.h"
@@ -10,7 +10,7 @@
 
 boost::json::object statusJson(const StatusSnapshot&);
 boost::json::object explainJson(const StatusSnapshot&, std::string_view service, std::string_view key);
-boost::json::object inForceJson(const StatusSnapshot&, int64_t revision); // on which hosts the revision is in force
+boost::json::object inForceJson(const StatusSnapshot&, int64_t revision); // hosts on which the revision is in force
 bool inForceEverywhere(const StatusSnapshot&, int64_t revision);
 
 }
