--- a/apps/cumindalectl/Commands.cpp
+++ b/apps/cumindalectl/Commands.cpp
@@ -23,7 +23,7 @@
 
     constexpr Millis callTimeout { 40'000 };
 
-    HttpReply ask(const std::string& address, uint16_t port, const HttpCall& call)
+    HttpReply sendRequest(const std::string& address, uint16_t port, const HttpCall& call)
     {
         asio::io_context context;
         HttpReply reply;
@@ -38,7 +38,7 @@
         return reply;
     }
 
-    HttpCall callFor(const CommandOptions& options, http::verb verb, std::string target, std::string body = {})
+    HttpCall makeCall(const CommandOptions& options, http::verb verb, std::string target, std::string body = {})
     {
         HttpCall call;
         call.verb = verb;
@@ -49,9 +49,12 @@
         return call;
     }
 
-    std::string escaped(const std::string& text) { return boost::urls::encode(text, boost::urls::unreserved_chars); }
+    std::string percentEncoded(const std::string& text)
+    {
+        return boost::urls::encode(text, boost::urls::unreserved_chars);
+    }
 
-    int statusOf(const HttpReply& reply)
+    int exitStatusOf(const HttpReply& reply)
     {
         switch (reply.status) {
         case 200:
@@ -77,7 +80,7 @@
         return id.str();
     }
 
-    std::string plain(const json::value& value)
+    std::string toText(const json::value& value)
     {
         return value.is_string() ? std::string(value.get_string()) : json::serialize(value);
     }
@@ -93,17 +96,17 @@
             for (const auto& item : value.get_array())
                 printTable(item, path + "[" + std::to_string(index++) + "]");
         } else {
-            std::cout << path << '\t' << plain(value) << '\n';
+            std::cout << path << '\t' << toText(value) << '\n';
         }
     }
 
-    int show(const CommandOptions& options, const HttpReply& reply)
+    int printReply(const CommandOptions& options, const HttpReply& reply)
     {
         if (!reply.arrived()) {
             std::cerr << "cumindalectl: no response from " << options.address << ':' << options.port << '\n';
             return ExitUnavailable;
         }
-        const int status = statusOf(reply);
+        const int status = exitStatusOf(reply);
         auto& out = status == ExitOk || status == ExitNotInForce ? std::cout : std::cerr;
         boost::system::error_code error;
         const auto value = json::parse(reply.body, error);
@@ -123,29 +126,30 @@
         return ExitUsage;
     }
 
-    int get(const CommandOptions& options, const std::vector<std::string>& words)
+    int get(const CommandOptions& options, const std::vector<std::string>& arguments)
     {
         std::string target = "/v1/resources";
-        if (words.size() > 1)
-            target += "?kind=" + escaped(words[1]);
-        HttpReply reply = ask(options.address, options.port, callFor(options, http::verb::get, target));
-        if (words.size() < 3 || reply.status != 200)
-            return show(options, reply);
+        if (arguments.size() > 1)
+            target += "?kind=" + percentEncoded(arguments[1]);
+        HttpReply reply = sendRequest(options.address, options.port, makeCall(options, http::verb::get, target));
+        if (arguments.size() < 3 || reply.status != 200)
+            return printReply(options, reply);
         const json::value all = json::parse(reply.body);
         for (const auto& item : all.at("resources").as_array()) {
-            if (item.at("name").as_string() == words[2]) {
+            if (item.at("name").as_string() == arguments[2]) {
                 reply.body = json::serialize(item) + "\n";
-                return show(options, reply);
+                return printReply(options, reply);
             }
         }
-        std::cerr << "cumindalectl: not found: " << words[1] << ' ' << words[2] << '\n';
+        std::cerr << "cumindalectl: not found: " << arguments[1] << ' ' << arguments[2] << '\n';
         return ExitRefused;
     }
 
     std::string writeTarget(const CommandOptions& options, const std::string& kind, const std::string& name)
     {
         const std::string id = options.operationId.empty() ? newOperationId() : options.operationId;
-        std::string target = "/v1/resources/" + escaped(kind) + "/" + escaped(name) + "?operationId=" + escaped(id);
+        std::string target = "/v1/resources/" + percentEncoded(kind) + "/" + percentEncoded(name)
+            + "?operationId=" + percentEncoded(id);
         if (options.expectedRevision)
             target += "&expectedRevision=" + std::to_string(*options.expectedRevision);
         if (options.wait)
@@ -153,7 +157,7 @@
         return target;
     }
 
-    int applyOne(const CommandOptions& options, const std::string& text)
+    int applyResource(const CommandOptions& options, const std::string& text)
     {
         ResourceDocument document;
         const auto fault = faultIn([&]() -> boost::leaf::result<void> {
@@ -165,9 +169,9 @@
             return ExitUsage;
         }
         const std::string target = writeTarget(options, document.kind, document.name);
-        return show(options,
-            ask(options.address, options.port,
-                callFor(options, http::verb::put, target, json::serialize(toJson(document)))));
+        return printReply(options,
+            sendRequest(options.address, options.port,
+                makeCall(options, http::verb::put, target, json::serialize(toJson(document)))));
     }
 
     // The input is one resource, or {"resources": [...]} with several, which are applied in order until one fails.
@@ -192,21 +196,21 @@
         }
         const auto* list = object.if_contains("resources");
         if (!list || !list->is_array())
-            return applyOne(options, text.str());
+            return applyResource(options, text.str());
         for (const auto& item : list->get_array()) {
-            if (const int status = applyOne(options, json::serialize(item)))
+            if (const int status = applyResource(options, json::serialize(item)))
                 return status;
         }
         return ExitOk;
     }
 
-    int erase(const CommandOptions& options, const std::vector<std::string>& words)
+    int erase(const CommandOptions& options, const std::vector<std::string>& arguments)
     {
-        if (words.size() != 3)
+        if (arguments.size() != 3)
             return usage();
-        return show(options,
-            ask(options.address, options.port,
-                callFor(options, http::verb::delete_, writeTarget(options, words[1], words[2]))));
+        return printReply(options,
+            sendRequest(options.address, options.port,
+                makeCall(options, http::verb::delete_, writeTarget(options, arguments[1], arguments[2]))));
     }
 
     int watch(const CommandOptions& options)
@@ -214,84 +218,89 @@
         int64_t revision = 0;
         for (;;) {
             const std::string target = "/v1/resources?afterRevision=" + std::to_string(revision);
-            const HttpReply reply = ask(options.address, options.port, callFor(options, http::verb::get, target));
+            const HttpReply reply
+                = sendRequest(options.address, options.port, makeCall(options, http::verb::get, target));
             if (reply.status != 200)
-                return show(options, reply);
+                return printReply(options, reply);
             const int64_t now = json::parse(reply.body).at("revision").to_number<int64_t>();
             if (now > revision)
-                show(options, reply);
+                printReply(options, reply);
             revision = now;
         }
     }
 
-    int explain(const CommandOptions& options, const std::vector<std::string>& words)
+    int explain(const CommandOptions& options, const std::vector<std::string>& arguments)
     {
-        if (words.size() != 2 || options.service.empty())
+        if (arguments.size() != 2 || options.service.empty())
             return usage();
-        const std::string target = "/v1/explain?service=" + escaped(options.service) + "&key=" + escaped(words[1]);
-        return show(options, ask(options.address, options.port, callFor(options, http::verb::get, target)));
+        const std::string target
+            = "/v1/explain?service=" + percentEncoded(options.service) + "&key=" + percentEncoded(arguments[1]);
+        return printReply(
+            options, sendRequest(options.address, options.port, makeCall(options, http::verb::get, target)));
     }
 
     // Lists or clears quarantined requests, which have crashed servers. Only hosts with a gateway have them.
-    int quarantine(const CommandOptions& options, const std::vector<std::string>& words)
+    int quarantine(const CommandOptions& options, const std::vector<std::string>& arguments)
     {
         const std::string target = "/v1/quarantine";
-        if (words.size() == 2 && words[1] == "list")
-            return show(options, ask(options.address, options.port, callFor(options, http::verb::get, target)));
-        if (words.size() == 3 && words[1] == "clear")
-            return show(options,
-                ask(options.address, options.port,
-                    callFor(options, http::verb::delete_, target + "?request=" + escaped(words[2]))));
+        if (arguments.size() == 2 && arguments[1] == "list")
+            return printReply(
+                options, sendRequest(options.address, options.port, makeCall(options, http::verb::get, target)));
+        if (arguments.size() == 3 && arguments[1] == "clear")
+            return printReply(options,
+                sendRequest(options.address, options.port,
+                    makeCall(options, http::verb::delete_, target + "?request=" + percentEncoded(arguments[2]))));
         return usage();
     }
 
-    int evacuate(const CommandOptions& options, const std::vector<std::string>& words)
+    int evacuate(const CommandOptions& options, const std::vector<std::string>& arguments)
     {
-        if (words.size() != 2)
+        if (arguments.size() != 2)
             return usage();
-        const json::object resource { { "kind", "Evacuation" }, { "name", words[1] }, { "spec", json::object {} } };
-        return applyOne(options, json::serialize(resource));
+        const json::object resource { { "kind", "Evacuation" }, { "name", arguments[1] }, { "spec", json::object {} } };
+        return applyResource(options, json::serialize(resource));
     }
 
     // Sets the state of the server's resource to leaving. The write fails if the resource has changed since the read.
-    int drain(const CommandOptions& options, const std::vector<std::string>& words)
+    int drain(const CommandOptions& options, const std::vector<std::string>& arguments)
     {
-        if (words.size() != 2)
+        if (arguments.size() != 2)
             return usage();
-        const HttpReply reply
-            = ask(options.address, options.port, callFor(options, http::verb::get, "/v1/resources?kind=BackendServer"));
+        const HttpReply reply = sendRequest(
+            options.address, options.port, makeCall(options, http::verb::get, "/v1/resources?kind=BackendServer"));
         if (reply.status != 200)
-            return show(options, reply);
+            return printReply(options, reply);
         json::value all = json::parse(reply.body);
         for (auto& item : all.at("resources").as_array()) {
-            if (item.at("name").as_string() != words[1])
+            if (item.at("name").as_string() != arguments[1])
                 continue;
             item.at("spec").as_object()["state"] = "leaving";
             CommandOptions conditional = options;
             if (!conditional.expectedRevision)
                 conditional.expectedRevision = item.at("revision").to_number<int64_t>();
             item.as_object().erase("revision");
-            return applyOne(conditional, json::serialize(item));
+            return applyResource(conditional, json::serialize(item));
         }
-        std::cerr << "cumindalectl: not found: BackendServer " << words[1] << '\n';
+        std::cerr << "cumindalectl: not found: BackendServer " << arguments[1] << '\n';
         return ExitRefused;
     }
 
     // Each host stores only its own spans of a request, so the command queries every host and merges the results.
-    int trace(const CommandOptions& options, const std::vector<std::string>& words)
+    int trace(const CommandOptions& options, const std::vector<std::string>& arguments)
     {
-        if (words.size() != 2)
+        if (arguments.size() != 2)
             return usage();
-        const HttpReply status = ask(options.address, options.port, callFor(options, http::verb::get, "/v1/status"));
+        const HttpReply status
+            = sendRequest(options.address, options.port, makeCall(options, http::verb::get, "/v1/status"));
         if (status.status != 200)
-            return show(options, status);
+            return printReply(options, status);
         json::array spans;
         const json::value state = json::parse(status.body);
         for (const auto& host : state.at("hosts").as_object()) {
             const auto port = host.value().at("operatorPort").to_number<uint16_t>();
             const std::string address(host.value().at("address").as_string());
-            const HttpReply reply
-                = ask(address, port, callFor(options, http::verb::get, "/v1/trace/" + escaped(words[1])));
+            const HttpReply reply = sendRequest(
+                address, port, makeCall(options, http::verb::get, "/v1/trace/" + percentEncoded(arguments[1])));
             if (reply.status != 200)
                 continue;
             const json::value found = json::parse(reply.body);
@@ -300,35 +309,36 @@
         }
         HttpReply merged;
         merged.status = 200;
-        merged.body = json::serialize(json::object { { "trace", words[1] }, { "spans", std::move(spans) } }) + "\n";
-        return show(options, merged);
+        merged.body = json::serialize(json::object { { "trace", arguments[1] }, { "spans", std::move(spans) } }) + "\n";
+        return printReply(options, merged);
     }
 
 }
 
-int runCommand(const CommandOptions& options, const std::vector<std::string>& words)
+int runCommand(const CommandOptions& options, const std::vector<std::string>& arguments)
 {
-    const std::string command = words.empty() ? std::string() : words.front();
+    const std::string command = arguments.empty() ? std::string() : arguments.front();
     if (command == "get")
-        return get(options, words);
+        return get(options, arguments);
     if (command == "apply")
         return apply(options);
     if (command == "delete")
-        return erase(options, words);
+        return erase(options, arguments);
     if (command == "watch")
         return watch(options);
     if (command == "explain")
-        return explain(options, words);
+        return explain(options, arguments);
     if (command == "status")
-        return show(options, ask(options.address, options.port, callFor(options, http::verb::get, "/v1/status")));
+        return printReply(
+            options, sendRequest(options.address, options.port, makeCall(options, http::verb::get, "/v1/status")));
     if (command == "drain")
-        return drain(options, words);
+        return drain(options, arguments);
     if (command == "evacuate")
-        return evacuate(options, words);
+        return evacuate(options, arguments);
     if (command == "quarantine")
-        return quarantine(options, words);
+        return quarantine(options, arguments);
     if (command == "trace")
-        return trace(options, words);
+        return trace(options, arguments);
     return usage();
 }
 
--- a/apps/cumindalectl/Commands.h
+++ b/apps/cumindalectl/Commands.h
@@ -30,6 +30,6 @@
     std::string service;
 };
 
-int runCommand(const CommandOptions&, const std::vector<std::string>& words);
+int runCommand(const CommandOptions&, const std::vector<std::string>& arguments);
 
 }
--- a/apps/cumindaled/GatewayHost.cpp
+++ b/apps/cumindaled/GatewayHost.cpp
@@ -1,6 +1,6 @@
 #include "GatewayHost.h"
 
-#include "Duties.h"
+#include "HostCommon.h"
 #include "base/Log.h"
 #include "base/Ring.h"
 #include "gateway/Gateway.h"
@@ -25,7 +25,7 @@
 
     // The load balancer checks readiness once a second and removes a host after two failures. A draining host accepts
     // connections for that long and then closes idle ones.
-    constexpr DrainTiming gatewayDrain { Millis(2'200), Millis(600) };
+    constexpr DrainTiming gatewayDrainTiming { Millis(2'200), Millis(600) };
 
     GatewayOptions gatewayOptions(const Settings& settings)
     {
@@ -42,84 +42,87 @@
             : m_settings(settings)
             , m_adapter(adapter)
             , m_file(std::move(file))
-            , m_toRouting(ringCapacity, [this] { asio::post(m_routing, [this] { drainToRouting(); }); })
-            , m_toControl(ringCapacity, [this] { asio::post(m_control, [this] { drainToControl(); }); })
-            , m_store(
-                  adapter.makeStore(m_control.get_executor(), settings.host.store.address, settings.host.store.port))
+            , m_toRouting(ringCapacity, [this] { asio::post(m_routingContext, [this] { drainToRouting(); }); })
+            , m_toControl(ringCapacity, [this] { asio::post(m_controlContext, [this] { drainToControl(); }); })
+            , m_store(adapter.makeStore(
+                  m_controlContext.get_executor(), settings.host.store.address, settings.host.store.port))
             , m_gateway(
-                  m_routing.get_executor(), m_clock, adapter, gatewayOptions(settings), m_metrics,
+                  m_routingContext.get_executor(), m_clock, adapter, gatewayOptions(settings), m_metrics,
                   [this](GatewayReport report) { m_toControl.push(std::move(report)); },
                   [this](const CallerBounds& bounds) { applyBounds(bounds); })
-            , m_callers(m_routing.get_executor(), m_clock, settings.host.callers.address, settings.host.callers.port,
-                  callerLimits(settings.limits), m_gateway, m_metrics)
-            , m_controlDuty(m_control.get_executor(), m_clock, settings, adapter, *m_store, m_metrics,
+            , m_callers(m_routingContext.get_executor(), m_clock, settings.host.callers.address,
+                  settings.host.callers.port, callerLimits(settings.limits), m_gateway, m_metrics)
+            , m_controller(m_controlContext.get_executor(), m_clock, settings, adapter, *m_store, m_metrics,
                   [this](GatewayUpdate update) { return m_toRouting.push(std::move(update)); })
-            , m_readiness(m_operators.get_executor(), settings.gateway->readiness.address,
+            , m_readiness(m_operatorsContext.get_executor(), settings.gateway->readiness.address,
                   settings.gateway->readiness.port,
                   [this](const ServedRequest& request, boost::beast::tcp_stream&) {
-                      return answerReadiness(std::string(request.target()));
+                      return handleReadiness(std::string(request.target()));
                   })
-            , m_admin(m_operators.get_executor(), settings.host.operators.address, settings.host.operators.port,
-                  [this](const ServedRequest& request, boost::beast::tcp_stream&) { return answerOperator(request); })
-            , m_signals(m_routing, SIGTERM, SIGINT, SIGHUP)
+            , m_admin(m_operatorsContext.get_executor(), settings.host.operators.address, settings.host.operators.port,
+                  [this](const ServedRequest& request, boost::beast::tcp_stream&) {
+                      return handleOperatorRequest(request);
+                  })
+            , m_signals(m_routingContext, SIGTERM, SIGINT, SIGHUP)
         {
         }
 
         int run()
         {
             m_gateway.start();
-            m_controlDuty.start();
+            m_controller.start();
             waitForSignal();
-            std::thread control([this] { runDuty(m_control); });
-            std::thread operators([this] { runDuty(m_operators); });
-            runDuty(m_routing);
-            m_control.stop();
-            m_operators.stop();
+            std::thread control([this] { runEventLoop(m_controlContext); });
+            std::thread operators([this] { runEventLoop(m_operatorsContext); });
+            runEventLoop(m_routingContext);
+            m_controlContext.stop();
+            m_operatorsContext.stop();
             control.join();
             operators.join();
             return 0;
         }
 
     private:
-        asio::awaitable<std::optional<ServedResponse>> answerReadiness(std::string target)
+        asio::awaitable<std::optional<ServedResponse>> handleReadiness(std::string target)
         {
             if (target != m_adapter.readinessPath())
                 co_return makeResponse(404, "{}");
             co_return makeResponse(m_ready ? 200 : 503, m_ready ? "{\"ready\":true}" : "{\"ready\":false}");
         }
 
-        asio::awaitable<std::optional<ServedResponse>> answerOperator(const ServedRequest& request)
+        asio::awaitable<std::optional<ServedResponse>> handleOperatorRequest(const ServedRequest& request)
         {
             const Target target = parseTarget(std::string(request.target()));
             const std::string& path = target.path;
             if (path == "/metrics")
                 co_return makeResponse(200, m_metrics.text(), "text/plain");
             if (path == "/status")
-                co_return makeResponse(200, co_await asio::co_spawn(m_control, status(), asio::use_awaitable));
+                co_return makeResponse(200, co_await asio::co_spawn(m_controlContext, status(), asio::use_awaitable));
             if (path == "/v1/quarantine")
-                co_return co_await answerQuarantine(request, target);
+                co_return co_await handleQuarantine(request, target);
             co_return makeResponse(404, "{}");
         }
 
         // GET lists quarantined requests. DELETE releases the one in the query parameter `request`.
-        asio::awaitable<std::optional<ServedResponse>> answerQuarantine(const ServedRequest& request, Target target)
+        asio::awaitable<std::optional<ServedResponse>> handleQuarantine(const ServedRequest& request, Target target)
         {
             if (request.method() == boost::beast::http::verb::get)
-                co_return makeResponse(200, co_await asio::co_spawn(m_control, quarantine(), asio::use_awaitable));
+                co_return makeResponse(
+                    200, co_await asio::co_spawn(m_controlContext, quarantine(), asio::use_awaitable));
             const std::string& token = m_settings.host.operatorToken;
             if (!token.empty() && request[boost::beast::http::field::authorization] != "Bearer " + token)
                 co_return makeResponse(401, "{\"error\":\"operator token required\"}\n");
             const auto fingerprint = fingerprintIn(target.parameter("request"));
             if (request.method() != boost::beast::http::verb::delete_ || !fingerprint)
                 co_return makeResponse(400, "{\"error\":\"request: must be 16 hexadecimal digits\"}\n");
-            asio::post(m_control, [this, fingerprint] { m_controlDuty.releaseFromQuarantine(*fingerprint); });
+            asio::post(m_controlContext, [this, fingerprint] { m_controller.releaseFromQuarantine(*fingerprint); });
             co_return makeResponse(200, "{}\n");
         }
 
-        asio::awaitable<std::string> quarantine() { co_return m_controlDuty.quarantineText(); }
+        asio::awaitable<std::string> quarantine() { co_return m_controller.quarantineText(); }
 
         // Runs on the control thread, which owns the state.
-        asio::awaitable<std::string> status() { co_return m_controlDuty.statusText(); }
+        asio::awaitable<std::string> status() { co_return m_controller.statusText(); }
 
         void drainToRouting()
         {
@@ -129,7 +132,7 @@
 
         void drainToControl()
         {
-            m_toControl.drain([this](GatewayReport report) { m_controlDuty.onRoutingReport(std::move(report)); });
+            m_toControl.drain([this](GatewayReport report) { m_controller.onRoutingReport(std::move(report)); });
         }
 
         void applyBounds(const CallerBounds& bounds)
@@ -138,8 +141,8 @@
             limits.headerBytes = bounds.headerBytes;
             limits.headerTimeout = bounds.headerTimeout;
             // Callers may send a request until the idle limit. Closing the connection exactly then could race with one.
-            constexpr Millis crossing { 1'000 };
-            limits.idleTimeout = bounds.idleTimeout + crossing;
+            constexpr Millis idleTimeoutMargin { 1'000 };
+            limits.idleTimeout = bounds.idleTimeout + idleTimeoutMargin;
             m_callers.setLimits(limits);
         }
 
@@ -159,23 +162,23 @@
                 m_draining = true;
                 m_ready = false;
                 logChange(LogLevel::Info, "host-draining", { { "connections", m_callers.connections() } });
-                asio::co_spawn(m_routing, drain(), asio::detached);
+                asio::co_spawn(m_routingContext, drain(), asio::detached);
             });
         }
 
         asio::awaitable<void> drain()
         {
-            constexpr Millis beforeTheEnd {
-                500
-            }; // the process is killed when the grace period ends; the last log lines must be written before
-            const Instant until = m_clock.now() + m_settings.gateway->grace - beforeTheEnd;
-            asio::co_spawn(m_control, m_controlDuty.leave(until), [this](std::exception_ptr) { m_left = true; });
-            co_await finishCallers(m_callers, gatewayDrain);
-            constexpr Millis look { 20 };
-            while (!m_left && m_clock.now() < until)
-                co_await sleepFor(look);
+            // The process is killed when the grace period ends; the last log lines must be written before.
+            constexpr Millis killMargin { 500 };
+            const Instant until = m_clock.now() + m_settings.gateway->grace - killMargin;
+            asio::co_spawn(
+                m_controlContext, m_controller.leave(until), [this](std::exception_ptr) { m_leaveFinished = true; });
+            co_await drainCallers(m_callers, gatewayDrainTiming);
+            constexpr Millis pollInterval { 20 };
+            while (!m_leaveFinished && m_clock.now() < until)
+                co_await sleepFor(pollInterval);
             logChange(LogLevel::Info, "host-stopped");
-            m_routing.stop();
+            m_routingContext.stop();
         }
 
         const Settings& m_settings;
@@ -183,20 +186,20 @@
         std::string m_file;
         SystemClock m_clock;
         Metrics m_metrics;
-        asio::io_context m_routing { singleThread };
-        asio::io_context m_control { singleThread };
-        asio::io_context m_operators { singleThread };
+        asio::io_context m_routingContext { singleThread };
+        asio::io_context m_controlContext { singleThread };
+        asio::io_context m_operatorsContext { singleThread };
         Ring<GatewayUpdate> m_toRouting;
         Ring<GatewayReport> m_toControl;
         std::unique_ptr<Store> m_store;
         Gateway m_gateway;
         CallerServer m_callers;
-        GatewayControl m_controlDuty;
+        GatewayControl m_controller;
         HttpServer m_readiness;
         HttpServer m_admin;
         asio::signal_set m_signals;
         std::atomic<bool> m_ready { false };
-        std::atomic<bool> m_left { false }; // set while draining, when GatewayControl::leave has finished
+        std::atomic<bool> m_leaveFinished { false }; // set while draining, when GatewayControl::leave has finished
         bool m_draining = false;
     };
 
--- a/apps/cumindaled/Host.cpp
+++ b/apps/cumindaled/Host.cpp
@@ -1,6 +1,6 @@
 #include "Host.h"
 
-#include "Duties.h"
+#include "HostCommon.h"
 #include "base/Log.h"
 #include "base/Ring.h"
 #include "callers/CallerServer.h"
@@ -23,7 +23,7 @@
 
 namespace {
 
-    constexpr size_t spansKept = 65'536;
+    constexpr size_t maxSpans = 65'536;
 
     RouterOptions routerOptions(const Settings& settings)
     {
@@ -38,33 +38,33 @@
     class Host {
     public:
         explicit Host(const Settings& settings)
-            : m_toRouting(ringCapacity, [this] { asio::post(m_routing, [this] { drainToRouting(); }); })
-            , m_toControl(ringCapacity, [this] { asio::post(m_control, [this] { drainToControl(); }); })
-            , m_store(m_control.get_executor(), settings.host.store.address, settings.host.store.port)
-            , m_hostList(m_control.get_executor(), settings.host.hostList.address, settings.host.hostList.port)
-            , m_router(m_routing.get_executor(), m_clock, routerOptions(settings), m_metrics, m_spans,
+            : m_toRouting(ringCapacity, [this] { asio::post(m_routingContext, [this] { drainToRouting(); }); })
+            , m_toControl(ringCapacity, [this] { asio::post(m_controlContext, [this] { drainToControl(); }); })
+            , m_store(m_controlContext.get_executor(), settings.host.store.address, settings.host.store.port)
+            , m_hostList(m_controlContext.get_executor(), settings.host.hostList.address, settings.host.hostList.port)
+            , m_router(m_routingContext.get_executor(), m_clock, routerOptions(settings), m_metrics, m_spans,
                   [this](RoutingReport report) { m_toControl.push(std::move(report)); })
-            , m_callers(m_routing.get_executor(), m_clock, settings.host.callers.address, settings.host.callers.port,
-                  callerLimits(settings.limits), m_router, m_metrics)
-            , m_controlDuty(m_control.get_executor(), m_clock, settings, m_store, m_hostList, m_metrics, m_board,
+            , m_callers(m_routingContext.get_executor(), m_clock, settings.host.callers.address,
+                  settings.host.callers.port, callerLimits(settings.limits), m_router, m_metrics)
+            , m_controller(m_controlContext.get_executor(), m_clock, settings, m_store, m_hostList, m_metrics, m_board,
                   [this](RoutingUpdate update) { return m_toRouting.push(std::move(update)); })
-            , m_operatorStore(m_operators.get_executor(), settings.host.store.address, settings.host.store.port)
+            , m_operatorStore(m_operatorsContext.get_executor(), settings.host.store.address, settings.host.store.port)
             , m_writer(m_clock, m_operatorStore, m_metrics)
-            , m_admin(m_operators.get_executor(), m_clock, settings, m_writer, m_board, m_metrics, m_spans)
-            , m_signals(m_routing, SIGTERM, SIGINT)
+            , m_admin(m_operatorsContext.get_executor(), m_clock, settings, m_writer, m_board, m_metrics, m_spans)
+            , m_signals(m_routingContext, SIGTERM, SIGINT)
         {
         }
 
         int run()
         {
             m_router.start();
-            m_controlDuty.start();
+            m_controller.start();
             waitForSignal();
-            std::thread control([this] { runDuty(m_control); });
-            std::thread operators([this] { runDuty(m_operators); });
-            runDuty(m_routing);
-            m_control.stop();
-            m_operators.stop();
+            std::thread control([this] { runEventLoop(m_controlContext); });
+            std::thread operators([this] { runEventLoop(m_operatorsContext); });
+            runEventLoop(m_routingContext);
+            m_controlContext.stop();
+            m_operatorsContext.stop();
             control.join();
             operators.join();
             return 0;
@@ -78,7 +78,7 @@
 
         void drainToControl()
         {
-            m_toControl.drain([this](RoutingReport report) { m_controlDuty.onRoutingReport(std::move(report)); });
+            m_toControl.drain([this](RoutingReport report) { m_controller.onRoutingReport(std::move(report)); });
         }
 
         void waitForSignal()
@@ -92,32 +92,32 @@
                     return;
                 m_draining = true;
                 logChange(LogLevel::Info, "host-draining");
-                asio::co_spawn(m_routing, drain(), asio::detached);
+                asio::co_spawn(m_routingContext, drain(), asio::detached);
             });
         }
 
         asio::awaitable<void> drain()
         {
-            asio::co_spawn(m_control, m_controlDuty.leave(), asio::detached);
-            co_await finishCallers(m_callers, {});
+            asio::co_spawn(m_controlContext, m_controller.leave(), asio::detached);
+            co_await drainCallers(m_callers, {});
             logChange(LogLevel::Info, "host-stopped");
-            m_routing.stop();
+            m_routingContext.stop();
         }
 
         SystemClock m_clock;
         Metrics m_metrics;
-        SpanLog m_spans { spansKept };
+        SpanLog m_spans { maxSpans };
         StatusBoard m_board;
-        asio::io_context m_routing { singleThread };
-        asio::io_context m_control { singleThread };
-        asio::io_context m_operators { singleThread };
+        asio::io_context m_routingContext { singleThread };
+        asio::io_context m_controlContext { singleThread };
+        asio::io_context m_operatorsContext { singleThread };
         Ring<RoutingUpdate> m_toRouting;
         Ring<RoutingReport> m_toControl;
         EtcdStore m_store;
         HttpHostList m_hostList;
         Router m_router;
         CallerServer m_callers;
-        Control m_controlDuty;
+        Control m_controller;
         EtcdStore m_operatorStore;
         ResourceWriter m_writer;
         AdminServer m_admin;
--- a/apps/cumindaled/Duties.cpp
+++ b/apps/cumindaled/HostCommon.cpp
@@ -1,4 +1,4 @@
-#include "Duties.h"
+#include "HostCommon.h"
 
 #include "web/Signal.h"
 
@@ -10,11 +10,11 @@
 
 namespace {
 
-    constexpr Millis drainLook { 50 };
+    constexpr Millis drainPollInterval { 50 };
 
 }
 
-void runDuty(asio::io_context& context)
+void runEventLoop(asio::io_context& context)
 {
     const auto work = asio::make_work_guard(context);
     context.run();
@@ -26,14 +26,14 @@
         limits.bodyIdleTimeout, limits.idleTimeout };
 }
 
-asio::awaitable<void> finishCallers(CallerServer& callers, DrainTiming timing)
+asio::awaitable<void> drainCallers(CallerServer& callers, DrainTiming timing)
 {
     callers.startDraining();
-    co_await sleepFor(timing.balancerNotices);
+    co_await sleepFor(timing.balancerDelay);
     callers.stopAccepting();
     while (callers.connections()) {
-        callers.closeIdle(timing.quietBeforeClose);
-        co_await sleepFor(drainLook);
+        callers.closeIdle(timing.idleBeforeClose);
+        co_await sleepFor(drainPollInterval);
     }
 }
 
--- a/apps/cumindaled/Duties.h
+++ b/apps/cumindaled/HostCommon.h
@@ -13,16 +13,16 @@
 constexpr size_t ringCapacity = 4096; // messages queued between two threads
 constexpr int singleThread = 1; // concurrency hint for each thread's io_context
 
-void runDuty(boost::asio::io_context&); // returns when the context is stopped
+void runEventLoop(boost::asio::io_context&); // returns when the context is stopped
 CallerLimits callerLimits(const LimitSettings&);
 
 struct DrainTiming {
-    Millis balancerNotices { 2'000 }; // how long new connections may arrive after the health check fails
-    Millis quietBeforeClose { 1'000 }; // connections idle for this long are closed
+    Millis balancerDelay { 2'000 }; // how long new connections may arrive after the health check fails
+    Millis idleBeforeClose { 1'000 }; // connections idle for this long are closed
 };
 
 // Fails the health check so that the load balancer removes the host, then waits for every accepted request. There is no
 // timeout, so that slow uploads can finish.
-boost::asio::awaitable<void> finishCallers(CallerServer&, DrainTiming);
+boost::asio::awaitable<void> drainCallers(CallerServer&, DrainTiming);
 
 }
--- a/packages/operators/AdminServer.cpp
+++ b/packages/operators/AdminServer.cpp
@@ -17,25 +17,26 @@
 
     constexpr std::string_view resourcesPath = "/v1/resources";
     constexpr std::string_view tracePath = "/v1/trace/";
-    constexpr Millis writeWithin { 10'000 };
-    constexpr Millis waitWithin { 10'000 };
-    constexpr Millis longestPoll { 30'000 };
-    constexpr Millis pollEvery { 20 };
+    constexpr Millis writeTimeout { 10'000 };
+    constexpr Millis inForceTimeout { 10'000 };
+    constexpr Millis longPollTimeout { 30'000 };
+    constexpr Millis pollInterval { 20 };
 
-    ServedResponse jsonAnswer(unsigned status, const json::object& body)
+    ServedResponse jsonResponse(unsigned status, const json::object& body)
     {
         return makeResponse(status, json::serialize(body) + "\n");
     }
 
-    ServedResponse errorAnswer(unsigned status, std::string_view error, std::string_view detail, json::object more = {})
+    ServedResponse errorResponse(
+        unsigned status, std::string_view error, std::string_view detail, json::object more = {})
     {
         more["error"] = error;
         more["detail"] = detail;
-        return jsonAnswer(status, more);
+        return jsonResponse(status, more);
     }
 
     // For texts of equal length, the duration of the comparison doesn't depend on where they differ.
-    bool sameSecret(std::string_view a, std::string_view b)
+    bool constantTimeEquals(std::string_view a, std::string_view b)
     {
         unsigned difference = a.size() == b.size() ? 0 : 1;
         for (size_t i = 0; i < a.size(); ++i)
@@ -79,18 +80,19 @@
     , m_metrics(metrics)
     , m_spans(spans)
     , m_server(std::move(executor), settings.host.operators.address, settings.host.operators.port,
-          [this](const ServedRequest& request, boost::beast::tcp_stream&) { return answer(request); })
+          [this](const ServedRequest& request, boost::beast::tcp_stream&) { return handle(request); })
 {
 }
 
-bool AdminServer::mayWrite(const ServedRequest& request) const
+bool AdminServer::isAuthorizedToWrite(const ServedRequest& request) const
 {
     constexpr std::string_view scheme = "Bearer ";
     const std::string_view header = request[http::field::authorization];
-    return header.starts_with(scheme) && sameSecret(header.substr(scheme.size()), m_settings.host.operatorToken);
+    return header.starts_with(scheme)
+        && constantTimeEquals(header.substr(scheme.size()), m_settings.host.operatorToken);
 }
 
-asio::awaitable<std::optional<ServedResponse>> AdminServer::answer(const ServedRequest& request)
+asio::awaitable<std::optional<ServedResponse>> AdminServer::handle(const ServedRequest& request)
 {
     const Target target = parseTarget(request.target());
     const std::string_view path = target.path;
@@ -98,111 +100,112 @@
     if (path.starts_with(std::string(resourcesPath) + "/"))
         co_return co_await write(request, target);
     if (request.method() != http::verb::get)
-        co_return errorAnswer(405, "method-not-allowed", "this path supports only GET");
+        co_return errorResponse(405, "method-not-allowed", "this path supports only GET");
     if (path == resourcesPath)
         co_return co_await list(target);
     if (path == "/v1/status")
-        co_return jsonAnswer(200, statusJson(*snapshot));
+        co_return jsonResponse(200, statusJson(*snapshot));
     if (path == "/v1/explain")
-        co_return jsonAnswer(200, explainJson(*snapshot, target.parameter("service"), target.parameter("key")));
+        co_return jsonResponse(200, explainJson(*snapshot, target.parameter("service"), target.parameter("key")));
     if (path == "/metrics")
         co_return makeResponse(200, m_metrics.text(), "text/plain");
     if (path.starts_with(tracePath))
         co_return trace(path.substr(tracePath.size()));
-    co_return errorAnswer(404, "not-found", "no such path; see docs/OPERATIONS.md");
+    co_return errorResponse(404, "not-found", "no such path; see docs/OPERATIONS.md");
 }
 
 asio::awaitable<ServedResponse> AdminServer::list(const Target& target)
 {
     const std::string kind = target.parameter("kind");
     if (!kind.empty() && !isKind(kind))
-        co_return errorAnswer(400, "bad-parameter", "kind: must be Service, BackendServer or Placement");
+        co_return errorResponse(400, "bad-parameter", "kind: must be Service, BackendServer or Placement");
     const std::string after = target.parameter("afterRevision");
     const auto afterRevision = parseNumber(after.empty() ? "0" : after);
     if (!afterRevision)
-        co_return errorAnswer(400, "bad-parameter", "afterRevision: must be a non-negative integer");
-    const Instant end = m_clock.now() + (after.empty() ? Millis(0) : longestPoll);
+        co_return errorResponse(400, "bad-parameter", "afterRevision: must be a non-negative integer");
+    const Instant end = m_clock.now() + (after.empty() ? Millis(0) : longPollTimeout);
     auto snapshot = m_board.read();
     while (m_clock.now() < end && snapshot->resources && snapshot->resources->revision <= *afterRevision) {
-        co_await sleepFor(pollEvery);
+        co_await sleepFor(pollInterval);
         snapshot = m_board.read();
     }
     json::object answer;
     answer["revision"] = snapshot->resources ? snapshot->resources->revision : 0;
     answer["resources"] = snapshot->entries ? resourcesJson(*snapshot->entries, kind) : json::array();
-    co_return jsonAnswer(200, answer);
+    co_return jsonResponse(200, answer);
 }
 
 asio::awaitable<ServedResponse> AdminServer::write(const ServedRequest& request, const Target& target)
 {
     const bool erase = request.method() == http::verb::delete_;
     if (!erase && request.method() != http::verb::put)
-        co_return errorAnswer(
+        co_return errorResponse(
             405, "method-not-allowed", "this path supports only PUT and DELETE; GET /v1/resources lists resources");
-    if (!mayWrite(request))
-        co_return errorAnswer(401, "unauthorized", "writes need the operatorToken of the settings as a bearer token");
+    if (!isAuthorizedToWrite(request))
+        co_return errorResponse(401, "unauthorized", "writes need the operatorToken of the settings as a bearer token");
     const std::string rest = target.path.substr(resourcesPath.size() + 1);
     const auto slash = rest.find('/');
-    WriteOrder order;
-    order.erase = erase;
-    order.document.kind = rest.substr(0, slash);
-    order.document.name = slash == std::string::npos ? std::string() : rest.substr(slash + 1);
-    if (!isKind(order.document.kind) || order.document.name.empty())
-        co_return errorAnswer(404, "not-found", "/v1/resources/KIND/NAME, KIND is Service, BackendServer or Placement");
+    WriteRequest writeRequest;
+    writeRequest.erase = erase;
+    writeRequest.document.kind = rest.substr(0, slash);
+    writeRequest.document.name = slash == std::string::npos ? std::string() : rest.substr(slash + 1);
+    if (!isKind(writeRequest.document.kind) || writeRequest.document.name.empty())
+        co_return errorResponse(
+            404, "not-found", "/v1/resources/KIND/NAME, KIND is Service, BackendServer or Placement");
     const std::string expected = target.parameter("expectedRevision");
-    order.expectedRevision = parseNumber(expected);
-    if (!expected.empty() && !order.expectedRevision)
-        co_return errorAnswer(400, "bad-parameter", "expectedRevision: must be a non-negative integer");
-    order.operationId = target.parameter("operationId");
-    if (order.operationId.empty() || order.operationId.size() > 64)
-        co_return errorAnswer(
+    writeRequest.expectedRevision = parseNumber(expected);
+    if (!expected.empty() && !writeRequest.expectedRevision)
+        co_return errorResponse(400, "bad-parameter", "expectedRevision: must be a non-negative integer");
+    writeRequest.operationId = target.parameter("operationId");
+    if (writeRequest.operationId.empty() || writeRequest.operationId.size() > 64)
+        co_return errorResponse(
             400, "bad-parameter", "operationId: required, 1 to 64 characters; a retry must use the same one");
     if (!erase) {
-        const ResourceDocument named = order.document;
+        const ResourceDocument named = writeRequest.document;
         const auto fault = faultIn([&]() -> boost::leaf::result<void> {
-            BOOST_LEAF_ASSIGN(order.document, parseDocument(request.body()));
+            BOOST_LEAF_ASSIGN(writeRequest.document, parseDocument(request.body()));
             return {};
         });
         if (fault)
-            co_return errorAnswer(400, "invalid", fault->text(), { { "field", fault->field } });
-        if (order.document.kind != named.kind || order.document.name != named.name)
-            co_return errorAnswer(400, "invalid", "kind and name must match the path");
+            co_return errorResponse(400, "invalid", fault->text(), { { "field", fault->field } });
+        if (writeRequest.document.kind != named.kind || writeRequest.document.name != named.name)
+            co_return errorResponse(400, "invalid", "kind and name must match the path");
     }
-    const WriteResult result = co_await m_writer.write(order, writeWithin);
+    const WriteResult result = co_await m_writer.write(writeRequest, writeTimeout);
     switch (result.outcome) {
     case WriteOutcome::Committed:
         logChange(LogLevel::Info, "resource-written",
-            { { "kind", order.document.kind }, { "name", order.document.name }, { "erased", erase },
+            { { "kind", writeRequest.document.kind }, { "name", writeRequest.document.name }, { "erased", erase },
                 { "revision", result.revision } });
         if (target.parameter("wait") == "true")
-            co_return co_await waitInForce(result, waitWithin);
-        co_return jsonAnswer(200, { { "revision", result.revision } });
+            co_return co_await waitUntilInForce(result, inForceTimeout);
+        co_return jsonResponse(200, { { "revision", result.revision } });
     case WriteOutcome::Conflict:
-        co_return errorAnswer(
+        co_return errorResponse(
             409, "conflict", "the resource is at another revision", { { "currentRevision", result.revision } });
     case WriteOutcome::Invalid:
-        co_return errorAnswer(400, "invalid", result.fault.text(), { { "field", result.fault.field } });
+        co_return errorResponse(400, "invalid", result.fault.text(), { { "field", result.fault.field } });
     case WriteOutcome::NotFound:
-        co_return errorAnswer(404, "not-found", "the resource does not exist");
+        co_return errorResponse(404, "not-found", "the resource does not exist");
     case WriteOutcome::StoreUnavailable:
-        co_return errorAnswer(503, "store-unavailable", "nothing was written; retry the request");
+        co_return errorResponse(503, "store-unavailable", "nothing was written; retry the request");
     case WriteOutcome::Unknown:
         break;
     }
-    co_return errorAnswer(504, "unknown", "the store did not answer the write; retry with the same operationId");
+    co_return errorResponse(504, "unknown", "the store did not answer the write; retry with the same operationId");
 }
 
-asio::awaitable<ServedResponse> AdminServer::waitInForce(WriteResult result, Millis within)
+asio::awaitable<ServedResponse> AdminServer::waitUntilInForce(WriteResult result, Millis timeout)
 {
-    const Instant end = m_clock.now() + within;
+    const Instant end = m_clock.now() + timeout;
     auto snapshot = m_board.read();
     while (!inForceEverywhere(*snapshot, result.revision) && m_clock.now() < end) {
-        co_await sleepFor(pollEvery);
+        co_await sleepFor(pollInterval);
         snapshot = m_board.read();
     }
     json::object answer = inForceJson(*snapshot, result.revision);
     answer["revision"] = result.revision;
-    co_return jsonAnswer(inForceEverywhere(*snapshot, result.revision) ? 200 : 202, answer);
+    co_return jsonResponse(inForceEverywhere(*snapshot, result.revision) ? 200 : 202, answer);
 }
 
 ServedResponse AdminServer::trace(std::string_view id) const
@@ -219,7 +222,7 @@
         object["durationUs"] = span.durationMicros;
         spans.push_back(std::move(object));
     }
-    return jsonAnswer(200, { { "trace", id }, { "spans", std::move(spans) } });
+    return jsonResponse(200, { { "trace", id }, { "spans", std::move(spans) } });
 }
 
 }
--- a/packages/operators/AdminServer.h
+++ b/packages/operators/AdminServer.h
@@ -17,12 +17,12 @@
         const Metrics&, const SpanLog&);
 
 private:
-    boost::asio::awaitable<std::optional<ServedResponse>> answer(const ServedRequest&);
+    boost::asio::awaitable<std::optional<ServedResponse>> handle(const ServedRequest&);
     boost::asio::awaitable<ServedResponse> write(const ServedRequest&, const Target&);
     boost::asio::awaitable<ServedResponse> list(const Target&);
-    boost::asio::awaitable<ServedResponse> waitInForce(WriteResult, Millis within);
+    boost::asio::awaitable<ServedResponse> waitUntilInForce(WriteResult, Millis timeout);
     ServedResponse trace(std::string_view id) const;
-    bool mayWrite(const ServedRequest&) const;
+    bool isAuthorizedToWrite(const ServedRequest&) const;
 
     const Clock& m_clock;
     const Settings& m_settings;
--- a/packages/operators/ResourceWriter.cpp
+++ b/packages/operators/ResourceWriter.cpp
@@ -12,8 +12,8 @@
 namespace {
 
     constexpr Millis callTimeout { 2500 };
-    constexpr Millis pauseAfterSilence { 100 };
-    constexpr size_t operationsRemembered = 256;
+    constexpr Millis retryDelay { 100 };
+    constexpr size_t maxRecentOperations = 256;
 
     const std::string& resourcesPrefix()
     {
@@ -64,11 +64,11 @@
         return std::find(list.begin(), list.end(), item) != list.end();
     }
 
-    std::string guardText(std::vector<std::string> operations, const std::string& newest)
+    std::string guardValue(std::vector<std::string> operations, const std::string& newest)
     {
         operations.push_back(newest);
         json::array list;
-        const size_t skip = operations.size() > operationsRemembered ? operations.size() - operationsRemembered : 0;
+        const size_t skip = operations.size() > maxRecentOperations ? operations.size() - maxRecentOperations : 0;
         for (size_t i = skip; i < operations.size(); ++i)
             list.emplace_back(operations[i]);
         return json::serialize(list);
@@ -86,15 +86,15 @@
             resources.evacuations.erase(document.name);
     }
 
-    std::optional<FieldFault> faultAfter(Resources resources, const WriteOrder& order)
+    std::optional<FieldFault> findFault(Resources resources, const WriteRequest& request)
     {
         return faultIn([&]() -> boost::leaf::result<void> {
-            if (order.erase)
-                erase(resources, order.document);
+            if (request.erase)
+                erase(resources, request.document);
             else
-                BOOST_LEAF_CHECK(addToResources(resources, order.document));
-            if (!order.erase && order.document.kind == "Evacuation")
-                BOOST_LEAF_CHECK(checkEvacuation(resources, order.document.name));
+                BOOST_LEAF_CHECK(addToResources(resources, request.document));
+            if (!request.erase && request.document.kind == "Evacuation")
+                BOOST_LEAF_CHECK(checkEvacuation(resources, request.document.name));
             return checkReferences(resources);
         });
     }
@@ -105,10 +105,12 @@
         return { { guardKey(), snapshot.guardRevision }, { key, current } };
     }
 
-    std::vector<WriteOperation> writesFor(const std::string& key, const WriteOrder& order, const Snapshot& snapshot)
+    std::vector<WriteOperation> writesFor(const std::string& key, const WriteRequest& request, const Snapshot& snapshot)
     {
-        const std::string document = order.erase ? std::string() : storedText({ order.document, order.operationId });
-        return { { key, document, order.erase }, { guardKey(), guardText(snapshot.operations, order.operationId) } };
+        const std::string document
+            = request.erase ? std::string() : storedText({ request.document, request.operationId });
+        return { { key, document, request.erase },
+            { guardKey(), guardValue(snapshot.operations, request.operationId) } };
     }
 
 }
@@ -120,32 +122,32 @@
 {
 }
 
-asio::awaitable<WriteResult> ResourceWriter::write(WriteOrder order, Millis within)
+asio::awaitable<WriteResult> ResourceWriter::write(WriteRequest request, Millis timeout)
 {
-    const std::string key = resourceKey(order.document.kind, order.document.name);
-    const Instant end = m_clock.now() + within;
+    const std::string key = resourceKey(request.document.kind, request.document.name);
+    const Instant end = m_clock.now() + timeout;
     bool maybeWritten = false;
     while (m_clock.now() < end) {
         m_calls.add();
         const RangeReply reply = co_await m_store.range(resourcesPrefix(), true, callTimeout);
         if (reply.status != StoreStatus::Ok) {
-            co_await sleepFor(pauseAfterSilence);
+            co_await sleepFor(retryDelay);
             continue;
         }
         const Snapshot snapshot = readSnapshot(reply);
         const auto found = snapshot.documents.find(key);
         const int64_t current = found == snapshot.documents.end() ? 0 : found->second.modRevision;
-        if (contains(snapshot.operations, order.operationId))
+        if (contains(snapshot.operations, request.operationId))
             co_return WriteResult { WriteOutcome::Committed, current ? current : snapshot.guardRevision, {} };
-        if (order.expectedRevision && *order.expectedRevision != current)
+        if (request.expectedRevision && *request.expectedRevision != current)
             co_return WriteResult { WriteOutcome::Conflict, current, {} };
-        if (order.erase && !current)
+        if (request.erase && !current)
             co_return WriteResult { WriteOutcome::NotFound, 0, {} };
-        if (const auto fault = faultAfter(snapshot.resources, order))
+        if (const auto fault = findFault(snapshot.resources, request))
             co_return WriteResult { WriteOutcome::Invalid, current, *fault };
 
         const auto conditions = conditionsFor(key, current, snapshot);
-        const auto writes = writesFor(key, order, snapshot);
+        const auto writes = writesFor(key, request, snapshot);
         m_calls.add();
         const TxnReply written = co_await m_store.txn(conditions, writes, callTimeout);
         if (written.status == StoreStatus::Ok && written.succeeded)
@@ -153,7 +155,7 @@
         // Either the reply was lost or a concurrent write was committed first: the next read shows which.
         if (written.status != StoreStatus::Ok) {
             maybeWritten = true;
-            co_await sleepFor(pauseAfterSilence);
+            co_await sleepFor(retryDelay);
         }
     }
     co_return WriteResult { maybeWritten ? WriteOutcome::Unknown : WriteOutcome::StoreUnavailable, 0, {} };
--- a/packages/operators/ResourceWriter.h
+++ b/packages/operators/ResourceWriter.h
@@ -29,7 +29,7 @@
     FieldFault fault; // for Invalid
 };
 
-struct WriteOrder {
+struct WriteRequest {
     ResourceDocument document; // spec is ignored if `erase` is set
     bool erase = false;
     std::optional<int64_t> expectedRevision; // 0: must not exist; nullopt: unconditional write
@@ -39,7 +39,7 @@
 class ResourceWriter {
 public:
     ResourceWriter(const Clock&, Store&, Metrics&);
-    boost::asio::awaitable<WriteResult> write(WriteOrder, Millis within);
+    boost::asio::awaitable<WriteResult> write(WriteRequest, Millis timeout);
 
 private:
     const Clock& m_clock;
--- a/packages/operators/StatusJson.cpp
+++ b/packages/operators/StatusJson.cpp
@@ -102,9 +102,9 @@
             for (const auto& [name, table] : snapshot.tables) {
                 for (const auto& slice : table->slices) {
                     const auto server = snapshot.resources->servers.find(table->serverName(slice.owner));
-                    const bool there
+                    const bool inCentre
                         = server != snapshot.resources->servers.end() && server->second.dataCentre == centre;
-                    slices += slice.state != SliceState::Unowned && there;
+                    slices += slice.state != SliceState::Unowned && inCentre;
                 }
             }
             evacuated[centre] = slices;
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -37,14 +37,14 @@
     return document;
 }
 
-WriteOrder order(ResourceDocument document, std::string operation, std::optional<int64_t> expected = std::nullopt)
+WriteRequest order(ResourceDocument document, std::string operation, std::optional<int64_t> expected = std::nullopt)
 {
     return { std::move(document), false, expected, std::move(operation) };
 }
 
 class Operators {
 public:
-    WriteResult write(WriteOrder one, Millis within = Millis(2000))
+    WriteResult write(WriteRequest one, Millis within = Millis(2000))
     {
         return runNow(m_writer.write(std::move(one), within));
     }
