--- a/apps/cumindaled/HostCommon.cpp
+++ b/apps/cumindaled/Duties.cpp
@@ -1,4 +1,4 @@
-#include "HostCommon.h"
+#include "Duties.h"
 
 #include "web/Signal.h"
 
--- a/apps/cumindaled/GatewayHost.cpp
+++ b/apps/cumindaled/GatewayHost.cpp
@@ -1,6 +1,6 @@
 #include "GatewayHost.h"
 
-#include "HostCommon.h"
+#include "Duties.h"
 #include "base/Log.h"
 #include "base/Ring.h"
 #include "gateway/Gateway.h"
--- a/apps/cumindaled/Host.cpp
+++ b/apps/cumindaled/Host.cpp
@@ -1,6 +1,6 @@
 #include "Host.h"
 
-#include "HostCommon.h"
+#include "Duties.h"
 #include "base/Log.h"
 #include "base/Ring.h"
 #include "callers/CallerServer.h"
