--- a/packages/operators/AdminServer.h
+++ b/packages/operators/AdminServer.h
@@ -1,4 +1,4 @@
-// Administration API, HTTP/JSON. Reads are open on its address; writes need the settings' bearer token.
+// Administration API over HTTP and JSON. Reads need no authentication; writes need the bearer token from the settings.
 // docs/OPERATIONS.md lists every call and error.
 #pragma once
 
@@ -17,12 +17,12 @@
         const Metrics&, const SpanLog&);
 
 private:
-    boost::asio::awaitable<std::optional<ServedResponse>> answer(const ServedRequest&);
+    boost::asio::awaitable<std::optional<ServedResponse>> handle(const ServedRequest&);
     boost::asio::awaitable<ServedResponse> write(const ServedRequest&, const Target&);
     boost::asio::awaitable<ServedResponse> list(const Target&);
-    boost::asio::awaitable<ServedResponse> waitInForce(WriteResult, Millis within);
+    boost::asio::awaitable<ServedResponse> waitUntilInForce(WriteResult, Millis timeout);
     ServedResponse trace(std::string_view id) const;
-    bool mayWrite(const ServedRequest&) const;
+    bool isAuthorizedToWrite(const ServedRequest&) const;
 
     const Clock& m_clock;
     const Settings& m_settings;
