--- a/packages/store/Base64.cpp
+++ b/packages/store/Base64.cpp
@@ -15,8 +15,8 @@
 std::string fromBase64(std::string_view text)
 {
     namespace base64 = boost::beast::detail::base64;
-    constexpr size_t group = 4; // characters that make three bytes
-    // The decoder writes past the room for whole groups if the text ends within one.
+    constexpr size_t group = 4; // characters that encode three bytes
+    // The decoder writes past a buffer sized for whole groups if the text ends in the middle of a group.
     if (text.size() % group)
         return {};
     std::string out(base64::decoded_size(text.size()), '\0');
--- a/packages/store/Base64.h
+++ b/packages/store/Base64.h
@@ -1,4 +1,4 @@
-// Keys and values in the stores' JSON bodies (RFC 4648, section 4, with padding).
+// Base64 encoding of keys and values in the JSON bodies of the store (RFC 4648, section 4, with padding).
 #pragma once
 
 #include <string>
--- a/packages/store/EtcdStore.cpp
+++ b/packages/store/EtcdStore.cpp
@@ -9,10 +9,6 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-// Sections: text forms, reading answers, calls.
-
-// --- Text forms
-
 std::string prefixEnd(std::string_view prefix)
 {
     std::string end(prefix);
@@ -26,15 +22,13 @@
     return std::string(1, '\0'); // all keys
 }
 
-// --- Reading answers
-
 namespace {
 
     constexpr Millis connectTimeout { 1000 };
 
     std::string text(int64_t number) { return std::to_string(number); }
 
-    // 64-bit numbers come as texts, and 0 is left out.
+    // etcd encodes 64-bit integers as strings and omits fields that are 0.
     int64_t numberIn(const json::object& object, std::string_view name)
     {
         const auto* value = object.if_contains(name);
@@ -71,7 +65,7 @@
             numberIn(object, "create_revision"), numberIn(object, "lease") };
     }
 
-    // Nothing for an error status or a damaged answer: both mean that the store can't be relied on now.
+    // Returns nullopt for an error status or a malformed response: either means that the store is unavailable.
     std::optional<json::object> answerIn(const HttpReply& reply)
     {
         if (reply.status != 200)
@@ -100,8 +94,6 @@
 
 }
 
-// --- Calls
-
 EtcdStore::EtcdStore(asio::any_io_executor executor, std::string address, uint16_t port)
     : m_client(std::move(executor), std::move(address), port)
 {
@@ -186,7 +178,7 @@
     json::object body;
     body["ID"] = text(id);
     const HttpReply reply = co_await m_client.send(post("/v3/lease/revoke", body), timeout);
-    // Any answer will do: a lease that isn't known has ended.
+    // Any response counts as success: an error for an unknown lease means that the lease has already ended.
     co_return reply.arrived() ? StoreStatus::Ok : StoreStatus::Unavailable;
 }
 
@@ -205,7 +197,7 @@
         const auto value = json::parse(line, error);
         const auto* result = !error && value.is_object() ? objectIn(value.get_object(), "result") : nullptr;
         if (!result || result->contains("canceled"))
-            return false; // cancelled, also after a compaction: the driver reads everything again
+            return false; // canceled, possibly by a compaction: the caller reads the whole range again
         std::vector<WatchEvent> events;
         const auto* list = result->if_contains("events");
         if (list && list->is_array()) {
--- a/packages/store/EtcdStore.h
+++ b/packages/store/EtcdStore.h
@@ -1,5 +1,5 @@
-// Store by etcd v3's published HTTP/JSON mapping (POST /v3/kv/range, /v3/kv/txn, /v3/lease/..., /v3/watch;
-// keys and values in base64, 64-bit numbers as texts).
+// Store client for the HTTP/JSON gateway of etcd v3 (POST /v3/kv/range, /v3/kv/txn, /v3/lease/..., /v3/watch;
+// keys and values in base64, 64-bit integers as strings).
 #pragma once
 
 #include "store/Store.h"
@@ -24,6 +24,6 @@
     HttpClient m_client;
 };
 
-std::string prefixEnd(std::string_view prefix); // first key after all keys with the prefix; shared with the stand-in
+std::string prefixEnd(std::string_view prefix); // first key after all keys with the prefix; also used by the fake store server
 
 }
--- a/packages/store/HostList.h
+++ b/packages/store/HostList.h
@@ -1,7 +1,7 @@
-// The platform's list of live and leaving entry hosts. It lags: a name on it may be dead, and a live host may
-// not be on it yet.
+// Client for the platform's list of live and leaving entry hosts. The list is eventually consistent: a listed host
+// may be dead, and a live host may not be listed yet.
 //
-// GET /hosts answers {"hosts":[{"name","dataCentre","address","peerPort","callerPort","operatorPort","leaving"}]}.
+// GET /hosts returns {"hosts":[{"name","dataCentre","address","peerPort","callerPort","operatorPort","leaving"}]}.
 #pragma once
 
 #include "base/Time.h"
--- a/packages/store/Store.h
+++ b/packages/store/Store.h
@@ -1,7 +1,7 @@
 // The platform's key-value store: compare-and-swap, leases, watches.
 //
-// Abstract, so that tests put a fake in its place. All waits are bounded; "Unavailable" means that no answer
-// came and that a write may or may not have taken effect.
+// The interface is abstract so that tests can substitute a fake. Every call has a timeout; `Unavailable` means that no
+// usable response was received and that a write may or may not have taken effect.
 #pragma once
 
 #include "base/Time.h"
@@ -18,7 +18,7 @@
 struct KeyValue {
     std::string key;
     std::string value;
-    int64_t modRevision = 0; // of the last write of this key; 0: absent
+    int64_t modRevision = 0; // revision of the last write of this key; 0: the key does not exist
     int64_t createRevision = 0;
     int64_t lease = 0;
 };
@@ -27,11 +27,11 @@
 
 struct RangeReply {
     StoreStatus status = StoreStatus::Unavailable;
-    int64_t revision = 0; // of the whole store, when it answered
+    int64_t revision = 0; // store revision at the time of the response
     std::vector<KeyValue> values;
 };
 
-// One condition of a transaction: the key was last written in `modRevision` (0: it does not exist).
+// Condition of a transaction: the key was last written at `modRevision` (0: the key does not exist).
 struct Compare {
     std::string key;
     int64_t modRevision = 0;
@@ -41,19 +41,19 @@
     std::string key;
     std::string value;
     bool erase = false;
-    int64_t lease = 0; // 0: stays until it is deleted
+    int64_t lease = 0; // 0: no lease; the key stays until it is deleted
 };
 
 struct TxnReply {
     StoreStatus status = StoreStatus::Unavailable;
     int64_t revision = 0;
-    bool succeeded = false; // all conditions held, all writes took effect
+    bool succeeded = false; // all conditions held and all writes were applied
 };
 
 struct LeaseReply {
     StoreStatus status = StoreStatus::Unavailable;
     int64_t id = 0;
-    Millis ttl { 0 }; // 0 after a keep-alive: the lease has lapsed
+    Millis ttl { 0 }; // 0 after a keep-alive: the lease has expired
 };
 
 struct WatchEvent {
@@ -61,11 +61,11 @@
     KeyValue value;
 };
 
-// Why a watch has ended.
+// Reason why a watch ended.
 enum class WatchEnd : uint8_t {
-    NoAnswer, // it can go on from where it was
-    HistoryGone, // what it asked for is no longer told: everything must be read
-    Stopped, // by its handler
+    NoAnswer, // the watch can resume from its last revision
+    HistoryGone, // the requested revisions are no longer available: the whole range must be read again
+    Stopped, // the handler returned false
 };
 
 class Store {
@@ -80,8 +80,9 @@
     virtual boost::asio::awaitable<LeaseReply> keepLease(int64_t id, Millis timeout) = 0;
     virtual boost::asio::awaitable<StoreStatus> revokeLease(int64_t id, Millis timeout) = 0;
 
-    // Calls `handle` with each batch of events from `fromRevision` on. Returns when the stream ends, is silent
-    // for longer than `silence`, or `handle` returns false. A store that can't tell why says that the history is gone.
+    // Calls `handle` with each batch of events, starting at `fromRevision`. Returns when the stream ends, when nothing
+    // is received for `silence`, or when `handle` returns false. An implementation that can't tell these reasons apart
+    // returns `HistoryGone`.
     using WatchHandler = std::function<bool(int64_t revision, const std::vector<WatchEvent>&)>;
     virtual boost::asio::awaitable<WatchEnd> watch(
         std::string prefix, int64_t fromRevision, Millis silence, WatchHandler handle)
--- a/packages/web/HttpClient.cpp
+++ b/packages/web/HttpClient.cpp
@@ -18,8 +18,8 @@
 
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
     constexpr uint64_t largestReply = 64'000'000;
-    // Peers are a few ms away. A first packet that is lost is sent again after a second (RFC 6298, section 2.1); a new
-    // attempt comes sooner, also right after a cut has healed.
+    // Peers are a few ms away. The kernel retransmits a lost SYN only after one second (RFC 6298, section 2.1); failing
+    // earlier lets the caller retry sooner, also right after a network partition has healed.
     constexpr Millis connectWithin { 300 };
 
     HttpReply lostReply()
@@ -74,7 +74,7 @@
     while (!m_idle.empty()) {
         Stream stream = std::move(m_idle.back());
         m_idle.pop_back();
-        if (!hasInput(*stream)) // else the other side ended it
+        if (!hasInput(*stream)) // input on an idle connection usually means that the peer closed it
             return stream;
     }
     return nullptr;
--- a/packages/web/HttpClient.h
+++ b/packages/web/HttpClient.h
@@ -1,4 +1,4 @@
-// Small HTTP/1.1 client for control traffic: the store, the host list, the administration API.
+// Minimal HTTP/1.1 client for control traffic: the store, the host list and the administration API.
 //
 // Requests to backend servers don't go through here; see backends/ServerPool.h.
 #pragma once
@@ -21,13 +21,13 @@
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
 struct HttpReply {
-    unsigned status = 0; // 0: no answer; the request may or may not have taken effect
+    unsigned status = 0; // 0: no response; the request may or may not have taken effect
     std::string body;
     HeaderList headers; // names as received
-    bool mayHaveArrived = false; // the request, or a part of it
+    bool mayHaveArrived = false; // some or all of the request may have reached the peer
 
     bool arrived() const { return status; }
-    std::string_view header(std::string_view name) const; // empty if absent; the name's case does not matter
+    std::string_view header(std::string_view name) const; // empty if absent; case-insensitive
 };
 
 struct HttpCall {
@@ -37,8 +37,8 @@
     HeaderList headers;
 };
 
-// Keeps idle connections to one address. One exchange at a time on each; a connection that failed or timed out
-// is closed, never used again. Use it from one thread.
+// Keeps a pool of idle connections to one address. Each connection carries one request at a time; a connection that
+// failed or timed out is closed and never reused. Not thread-safe.
 class HttpClient {
 public:
     HttpClient(boost::asio::any_io_executor, std::string address, uint16_t port, size_t mostIdle = 8);
@@ -46,20 +46,20 @@
 
     boost::asio::awaitable<HttpReply> send(HttpCall, Millis timeout);
 
-    // The call is made once it is known whether it goes over a connection that was not there before: behind such a one
-    // another incarnation of the peer may answer. Nothing: it isn't sent.
+    // Builds the request after a connection has been chosen and tells the function whether the connection is new: a new
+    // connection may reach another incarnation of the peer. The function returns nullopt to send nothing.
     using CallMaker = std::function<std::optional<HttpCall>(bool newConnection)>;
     boost::asio::awaitable<HttpReply> send(CallMaker, Millis timeout);
 
-    // Sends, then hands out the answer's body line by line as it comes, until it ends, a line takes longer than
-    // `silence`, or the handler returns false.
+    // Sends the request and passes the response body to the handler line by line as it arrives. Returns when the body
+    // ends, when nothing is received for `silence`, or when the handler returns false.
     using LineHandler = std::function<bool(std::string_view line)>;
     boost::asio::awaitable<void> stream(HttpCall, Millis connectTimeout, Millis silence, LineHandler);
 
 private:
     using Stream = std::unique_ptr<boost::beast::tcp_stream>;
     boost::asio::awaitable<Stream> connect(Millis timeout);
-    Stream takeIdle(); // null: none that is still open
+    Stream takeIdle(); // null if no idle connection is still open
     void keep(Stream);
     boost::asio::awaitable<HttpReply> exchange(Stream, HttpCall, Millis timeout);
 
--- a/packages/web/HttpServer.cpp
+++ b/packages/web/HttpServer.cpp
@@ -38,7 +38,7 @@
 
 namespace {
 
-    // A connection in the list of those that are open, for as long as it is.
+    // Registers a connection in the set of open connections for the lifetime of this object.
     class Listed {
     public:
         Listed(std::set<beast::tcp_stream*>& open, beast::tcp_stream& stream)
@@ -56,7 +56,7 @@
         beast::tcp_stream* m_stream;
     };
 
-    // `owner` keeps what the references point to alive beyond the server object.
+    // `owner` keeps the referenced objects alive after the HttpServer has been destroyed.
     asio::awaitable<void> serve([[maybe_unused]] std::shared_ptr<void> owner, tcp::socket socket,
         HttpServer::Handler handler, std::set<beast::tcp_stream*>& open)
     {
--- a/packages/web/HttpServer.h
+++ b/packages/web/HttpServer.h
@@ -1,4 +1,4 @@
-// Small HTTP/1.1 server for control traffic: the administration API and the stand-ins.
+// Minimal HTTP/1.1 server for control traffic: the administration API and the fake servers.
 //
 // Callers' requests don't go through here; see callers/CallerServer.h.
 #pragma once
@@ -29,15 +29,15 @@
 
 class HttpServer {
 public:
-    // Answers a request. Nothing: the handler wrote to the stream itself, and the connection ends.
+    // Handles a request. Returns nullopt if the handler wrote to the stream itself; the connection is then closed.
     using Handler = std::function<boost::asio::awaitable<std::optional<ServedResponse>>(
         const ServedRequest&, boost::beast::tcp_stream&)>;
 
     HttpServer(boost::asio::any_io_executor, std::string address, uint16_t port, Handler); // throws if it can't bind
     ~HttpServer();
     uint16_t port() const;
-    void stop(); // no new connections
-    void endConnections(); // as the end of a process would
+    void stop(); // stops accepting connections
+    void endConnections(); // closes all open connections, as the exit of the process would
 
 private:
     struct Shared;
--- a/packages/web/Signal.h
+++ b/packages/web/Signal.h
@@ -1,4 +1,4 @@
-// Waits in coroutines: for a time, or for a change that another coroutine of the same thread announces.
+// Coroutine waits: for a duration, or for a notification by another coroutine on the same thread.
 #pragma once
 
 #include "base/Time.h"
@@ -13,8 +13,9 @@
 
 boost::asio::awaitable<void> sleepFor(Millis);
 
-// Starts a loop that a duty can't do without. If it ends by an exception the process ends too, with a log line: a
-// host that is replaced does less harm than one that has silently stopped beating or reporting.
+// Starts a loop that the process can't run without. If the loop ends with an exception, the error is logged and the
+// process aborts: a host that is replaced does less harm than one that has silently stopped sending heartbeats or
+// reports.
 void spawnLoop(boost::asio::any_io_executor, std::string name, boost::asio::awaitable<void>);
 
 class Signal {
@@ -24,7 +25,7 @@
     {
     }
 
-    void notifyAll(); // ends every wait that has begun
+    void notifyAll(); // ends all waits in progress
     boost::asio::awaitable<void> wait(Millis atMost);
 
 private:
--- a/packages/web/Sockets.cpp
+++ b/packages/web/Sockets.cpp
@@ -18,7 +18,7 @@
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
     constexpr Millis afterAcceptError { 20 };
 
-    // Bytes waiting (at most 1), 0 at an end or after an error, -1 if there is nothing to read.
+    // Returns 1 if a byte can be read, 0 at the end of the stream or after an error, -1 if there is nothing to read.
     ssize_t peek(boost::beast::tcp_stream& stream)
     {
         char byte = 0;
@@ -29,21 +29,21 @@
 
     void sendAtOnce(tcp::socket& socket)
     {
-        boost::system::error_code ignored; // the other side may have gone already
+        boost::system::error_code ignored; // the peer may have closed the connection already
         socket.set_option(tcp::no_delay(true), ignored);
     }
 
-    // A request given up behind a cut path would else be delivered when the cut heals, seconds later: to a server that
-    // is an old grant, taken for a new one. A stream whose timeout has passed closes its socket by itself, so this is
-    // set from the start, not when a connection is given up.
+    // Otherwise a request that was abandoned during a network partition would be delivered when the partition heals,
+    // seconds later: a server would take an old grant for a new one. The option is set right after connecting, not when
+    // a connection is abandoned, because a stream closes its socket by itself when its timeout expires.
     void dropBytesOnClose(tcp::socket& socket)
     {
-        boost::system::error_code ignored; // the other side may have gone already
+        boost::system::error_code ignored; // the peer may have closed the connection already
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
     }
 
-    // A connection whose path went silent for good would otherwise be found out only by the request that is lost on
-    // it: probes end it after about three seconds (tcp(7), TCP_KEEPIDLE and following).
+    // Keep-alive probes close a connection with a dead network path after about three seconds (tcp(7), TCP_KEEPIDLE and
+    // following). Without probes, the failure would only be detected by losing a request.
     void probeWhileIdle(tcp::socket& socket)
     {
         using Seconds = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
@@ -52,7 +52,7 @@
         constexpr int idleSeconds = 1;
         constexpr int intervalSeconds = 1;
         constexpr int probes = 2;
-        boost::system::error_code ignored; // without probes, timeouts remain
+        boost::system::error_code ignored; // without probes, request timeouts still apply
         socket.set_option(asio::socket_base::keep_alive(true), ignored);
         socket.set_option(Seconds(idleSeconds), ignored);
         socket.set_option(Interval(intervalSeconds), ignored);
@@ -84,14 +84,14 @@
             sendAtOnce(socket);
             co_return std::move(socket);
         }
-        // Out of file descriptors, most likely: asking again at once would keep a core busy until some are free.
+        // Most likely out of file descriptors: an immediate retry would keep a core busy until some are free.
         co_await sleepFor(afterAcceptError);
     }
 }
 
 void resetConnection(boost::beast::tcp_stream& stream)
 {
-    boost::system::error_code ignored; // it may be closed already
+    boost::system::error_code ignored; // the socket may be closed already
     stream.socket().close(ignored);
 }
 
--- a/packages/web/Sockets.h
+++ b/packages/web/Sockets.h
@@ -1,4 +1,4 @@
-// What every peer's connection needs: connecting and accepting within bounds, and looking at an idle connection.
+// TCP helpers for all peer connections: connect with a timeout, accept with retry, and check an idle connection.
 #pragma once
 
 #include "base/Time.h"
@@ -11,18 +11,18 @@
 
 namespace cumindale {
 
-// However the connection is closed later, bytes still on their way are dropped (RST): after a timeout a request must
-// not linger in a socket buffer behind a cut path, and arrive when its answer no longer matters.
+// Connects, and configures the socket to discard unsent data and send RST however it is closed: a request that timed
+// out must not stay in a socket buffer during a network partition and arrive after its response has ceased to matter.
 boost::asio::awaitable<bool> connectTo(boost::beast::tcp_stream&, std::string address, uint16_t port, Millis timeout);
 
-// The next connection; nothing once the acceptor is closed. Other errors are waited out.
+// Returns the next connection, or nullopt once the acceptor is closed. Retries after a delay on other errors.
 boost::asio::awaitable<std::optional<boost::asio::ip::tcp::socket>> acceptFrom(boost::asio::ip::tcp::acceptor&);
 
-// Closes a connection made by connectTo() at once.
+// Closes a connection made by connectTo() immediately (RST).
 void resetConnection(boost::beast::tcp_stream&);
 
-// Of a connection on which nothing is expected.
-bool hasInput(boost::beast::tcp_stream&); // an end, or bytes that nobody asked for
-bool hasEnded(boost::beast::tcp_stream&); // the other side has closed it
+// For idle connections, on which no input is expected.
+bool hasInput(boost::beast::tcp_stream&); // the peer closed the connection or sent unexpected bytes
+bool hasEnded(boost::beast::tcp_stream&); // the peer closed the connection, or the connection failed
 
 }
