--- a/packages/store/EtcdStore.h
+++ b/packages/store/EtcdStore.h
@@ -24,6 +24,7 @@
     HttpClient m_client;
 };
 
-std::string prefixEnd(std::string_view prefix); // first key after all keys with the prefix; also used by the fake store server
+std::string prefixEnd(
+    std::string_view prefix); // first key after all keys with the prefix; also used by the fake store server
 
 }
