--- a/apps/cumindalectl/Commands.cpp
+++ b/apps/cumindalectl/Commands.cpp
@@ -105,7 +105,7 @@
 
     int show(const CommandOptions& options, const HttpReply& reply)
     {
-        if (!reply.arrived()) {
+        if (!reply.hasResponse()) {
             std::cerr << "cumindalectl: no answer from " << options.address << ':' << options.port << '\n';
             return ExitUnavailable;
         }
--- a/packages/backends/Prober.cpp
+++ b/packages/backends/Prober.cpp
@@ -59,7 +59,7 @@
     const Reachability previousReachability = m_monitor.reachability();
     const bool acceptedNewWork = m_monitor.acceptsNewWork();
     Millis delay = m_options.probeInterval;
-    if (reply.arrived()) {
+    if (reply.hasResponse()) {
         m_monitor.answered(m_clock.now());
     } else if (m_clock.now() - sentAt >= m_options.probeTimeout) {
         // The next probe uses a new connection at once: if the server answers there, only the old connection was dead.
--- a/packages/backends/ServerPool.cpp
+++ b/packages/backends/ServerPool.cpp
@@ -41,7 +41,7 @@
     co_return m_reusable;
 }
 
-bool BackendConnection::hasUnsolicitedInput() { return hasInput(m_stream); }
+bool BackendConnection::hasUnsolicitedInput() { return isReadable(m_stream); }
 
 namespace {
 
--- a/packages/callers/CallerServer.cpp
+++ b/packages/callers/CallerServer.cpp
@@ -310,7 +310,7 @@
         co_await sleepFor(sessionCheckInterval);
         const Instant now = shared->clock.now();
         for (auto& session : shared->sessions) {
-            if (session.activeCaller && !session.activeCaller->disconnected && hasEnded(session.stream)) {
+            if (session.activeCaller && !session.activeCaller->disconnected && isClosedByPeer(session.stream)) {
                 session.activeCaller->disconnected = true;
                 if (session.activeCaller->onDisconnect)
                     session.activeCaller->onDisconnect();
--- a/packages/control/Election.cpp
+++ b/packages/control/Election.cpp
@@ -104,7 +104,7 @@
             break; // gave up the leadership meanwhile
         const Instant askedAt = m_clock.now();
         m_writes.add();
-        const LeaseReply kept = co_await m_store.keepLease(m_leaseId, interval * 2);
+        const LeaseReply kept = co_await m_store.keepLeaseAlive(m_leaseId, interval * 2);
         if (!m_modRevision)
             break;
         if (kept.status == StoreStatus::Ok && kept.ttl.count() > 0) {
--- a/packages/gateway/Coordinator.cpp
+++ b/packages/gateway/Coordinator.cpp
@@ -338,7 +338,7 @@
     if (client) {
         const bool release = order.kind == GrantOrder::Kind::Release;
         const Millis timeout = release ? m_options.releaseTimeout : m_options.grants.orderTimeout;
-        HttpClient::CallMaker make = [&](bool newConnection) -> std::optional<HttpCall> {
+        HttpClient::CallFactory make = [&](bool newConnection) -> std::optional<HttpCall> {
             const auto fence = term == m_term ? fenceToSend(order, service, newConnection) : std::nullopt;
             if (!fence)
                 return std::nullopt;
@@ -346,7 +346,7 @@
             return m_adapter.callFor(order);
         };
         const HttpReply reply = co_await client->send(std::move(make), timeout);
-        if (reply.arrived()) {
+        if (reply.hasResponse()) {
             answer.result = m_adapter.resultOf(order, reply);
             answer.handover = m_adapter.handoverIn(reply);
         } else {
--- a/packages/store/EtcdStore.cpp
+++ b/packages/store/EtcdStore.cpp
@@ -26,10 +26,10 @@
 
     constexpr Millis connectTimeout { 1000 };
 
-    std::string text(int64_t number) { return std::to_string(number); }
+    std::string toDecimal(int64_t number) { return std::to_string(number); }
 
     // etcd encodes 64-bit integers as strings and omits fields that are 0.
-    int64_t numberIn(const json::object& object, std::string_view name)
+    int64_t readInteger(const json::object& object, std::string_view name)
     {
         const auto* value = object.if_contains(name);
         if (!value)
@@ -41,32 +41,32 @@
         return error ? 0 : number;
     }
 
-    std::string bytesIn(const json::object& object, std::string_view name)
+    std::string readBytes(const json::object& object, std::string_view name)
     {
         const auto* value = object.if_contains(name);
         return value && value->is_string() ? fromBase64(value->get_string()) : std::string();
     }
 
-    const json::object* objectIn(const json::object& object, std::string_view name)
+    const json::object* readObject(const json::object& object, std::string_view name)
     {
         const auto* value = object.if_contains(name);
         return value ? value->if_object() : nullptr;
     }
 
-    int64_t revisionIn(const json::object& answer)
+    int64_t readRevision(const json::object& response)
     {
-        const auto* header = objectIn(answer, "header");
-        return header ? numberIn(*header, "revision") : 0;
+        const auto* header = readObject(response, "header");
+        return header ? readInteger(*header, "revision") : 0;
     }
 
-    KeyValue keyValueIn(const json::object& object)
+    KeyValue readKeyValue(const json::object& object)
     {
-        return { bytesIn(object, "key"), bytesIn(object, "value"), numberIn(object, "mod_revision"),
-            numberIn(object, "create_revision"), numberIn(object, "lease") };
+        return { readBytes(object, "key"), readBytes(object, "value"), readInteger(object, "mod_revision"),
+            readInteger(object, "create_revision"), readInteger(object, "lease") };
     }
 
     // Returns nullopt for an error status or a malformed response: either means that the store is unavailable.
-    std::optional<json::object> answerIn(const HttpReply& reply)
+    std::optional<json::object> parseResponse(const HttpReply& reply)
     {
         if (reply.status != 200)
             return std::nullopt;
@@ -87,9 +87,9 @@
         return call;
     }
 
-    LeaseReply leaseIn(const json::object& answer)
+    LeaseReply readLease(const json::object& response)
     {
-        return { StoreStatus::Ok, numberIn(answer, "ID"), Millis(numberIn(answer, "TTL") * 1000) };
+        return { StoreStatus::Ok, readInteger(response, "ID"), Millis(readInteger(response, "TTL") * 1000) };
     }
 
 }
@@ -106,16 +106,16 @@
     if (prefix)
         body["range_end"] = toBase64(prefixEnd(key));
     const HttpReply reply = co_await m_client.send(post("/v3/kv/range", body), timeout);
-    const auto answer = answerIn(reply);
-    if (!answer)
+    const auto response = parseResponse(reply);
+    if (!response)
         co_return RangeReply {};
-    RangeReply found { StoreStatus::Ok, revisionIn(*answer), {} };
-    const auto* values = answer->if_contains("kvs");
+    RangeReply result { StoreStatus::Ok, readRevision(*response), {} };
+    const auto* values = response->if_contains("kvs");
     if (values && values->is_array()) {
         for (const auto& value : values->get_array())
-            found.values.push_back(keyValueIn(value.as_object()));
+            result.values.push_back(readKeyValue(value.as_object()));
     }
-    co_return found;
+    co_return result;
 }
 
 asio::awaitable<TxnReply> EtcdStore::txn(
@@ -127,7 +127,7 @@
         object["key"] = toBase64(condition.key);
         object["target"] = "MOD";
         object["result"] = "EQUAL";
-        object["mod_revision"] = text(condition.modRevision);
+        object["mod_revision"] = toDecimal(condition.modRevision);
         compare.push_back(std::move(object));
     }
     json::array success;
@@ -137,7 +137,7 @@
         if (!write.erase)
             operation["value"] = toBase64(write.value);
         if (write.lease)
-            operation["lease"] = text(write.lease);
+            operation["lease"] = toDecimal(write.lease);
         json::object wrapper;
         wrapper[write.erase ? "request_delete_range" : "request_put"] = std::move(operation);
         success.push_back(std::move(wrapper));
@@ -146,56 +146,56 @@
     body["compare"] = std::move(compare);
     body["success"] = std::move(success);
     const HttpReply reply = co_await m_client.send(post("/v3/kv/txn", body), timeout);
-    const auto answer = answerIn(reply);
-    if (!answer)
+    const auto response = parseResponse(reply);
+    if (!response)
         co_return TxnReply {};
-    const auto* succeeded = answer->if_contains("succeeded");
-    co_return TxnReply { StoreStatus::Ok, revisionIn(*answer),
+    const auto* succeeded = response->if_contains("succeeded");
+    co_return TxnReply { StoreStatus::Ok, readRevision(*response),
         succeeded && succeeded->is_bool() && succeeded->get_bool() };
 }
 
 asio::awaitable<LeaseReply> EtcdStore::grantLease(Millis ttl, Millis timeout)
 {
     json::object body;
-    body["TTL"] = text((ttl.count() + 999) / 1000);
+    body["TTL"] = toDecimal((ttl.count() + 999) / 1000);
     const HttpReply reply = co_await m_client.send(post("/v3/lease/grant", body), timeout);
-    const auto answer = answerIn(reply);
-    co_return answer ? leaseIn(*answer) : LeaseReply {};
+    const auto response = parseResponse(reply);
+    co_return response ? readLease(*response) : LeaseReply {};
 }
 
-asio::awaitable<LeaseReply> EtcdStore::keepLease(int64_t id, Millis timeout)
+asio::awaitable<LeaseReply> EtcdStore::keepLeaseAlive(int64_t id, Millis timeout)
 {
     json::object body;
-    body["ID"] = text(id);
+    body["ID"] = toDecimal(id);
     const HttpReply reply = co_await m_client.send(post("/v3/lease/keepalive", body), timeout);
-    const auto answer = answerIn(reply);
-    const auto* result = answer ? objectIn(*answer, "result") : nullptr;
-    co_return result ? leaseIn(*result) : LeaseReply {};
+    const auto response = parseResponse(reply);
+    const auto* result = response ? readObject(*response, "result") : nullptr;
+    co_return result ? readLease(*result) : LeaseReply {};
 }
 
 asio::awaitable<StoreStatus> EtcdStore::revokeLease(int64_t id, Millis timeout)
 {
     json::object body;
-    body["ID"] = text(id);
+    body["ID"] = toDecimal(id);
     const HttpReply reply = co_await m_client.send(post("/v3/lease/revoke", body), timeout);
     // Any response counts as success: an error for an unknown lease means that the lease has already ended.
-    co_return reply.arrived() ? StoreStatus::Ok : StoreStatus::Unavailable;
+    co_return reply.hasResponse() ? StoreStatus::Ok : StoreStatus::Unavailable;
 }
 
 asio::awaitable<WatchEnd> EtcdStore::watch(
-    std::string prefix, int64_t fromRevision, Millis silence, WatchHandler handle)
+    std::string prefix, int64_t fromRevision, Millis idleTimeout, WatchHandler handler)
 {
     json::object create;
     create["key"] = toBase64(prefix);
     create["range_end"] = toBase64(prefixEnd(prefix));
-    create["start_revision"] = text(fromRevision);
+    create["start_revision"] = toDecimal(fromRevision);
     create["progress_notify"] = true;
     json::object body;
     body["create_request"] = std::move(create);
-    const auto onLine = [handle = std::move(handle)](std::string_view line) {
+    const auto onLine = [handler = std::move(handler)](std::string_view line) {
         boost::system::error_code error;
         const auto value = json::parse(line, error);
-        const auto* result = !error && value.is_object() ? objectIn(value.get_object(), "result") : nullptr;
+        const auto* result = !error && value.is_object() ? readObject(value.get_object(), "result") : nullptr;
         if (!result || result->contains("canceled"))
             return false; // canceled, possibly by a compaction: the caller reads the whole range again
         std::vector<WatchEvent> events;
@@ -204,14 +204,14 @@
             for (const auto& item : list->get_array()) {
                 const auto& event = item.as_object();
                 const auto* type = event.if_contains("type");
-                const auto* entry = objectIn(event, "kv");
+                const auto* entry = readObject(event, "kv");
                 if (entry)
-                    events.push_back({ type && *type == "DELETE", keyValueIn(*entry) });
+                    events.push_back({ type && *type == "DELETE", readKeyValue(*entry) });
             }
         }
-        return handle(revisionIn(*result), events);
+        return handler(readRevision(*result), events);
     };
-    co_await m_client.stream(post("/v3/watch", body), connectTimeout, silence, onLine);
+    co_await m_client.stream(post("/v3/watch", body), connectTimeout, idleTimeout, onLine);
     co_return WatchEnd::HistoryGone;
 }
 
--- a/packages/store/HostList.cpp
+++ b/packages/store/HostList.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    constexpr int64_t highestPort = 65535;
+    constexpr int64_t maxPort = 65535;
 
     ListedHost readHost(const boost::json::object& object, FieldError& fault)
     {
@@ -19,9 +19,9 @@
         host.member.name = reader.text("name", true);
         host.member.dataCentre = reader.text("dataCentre", true);
         host.member.address = reader.address("address");
-        host.member.peerPort = static_cast<uint16_t>(reader.requiredInteger("peerPort", 1, highestPort));
-        host.member.callerPort = static_cast<uint16_t>(reader.requiredInteger("callerPort", 1, highestPort));
-        host.member.operatorPort = static_cast<uint16_t>(reader.requiredInteger("operatorPort", 1, highestPort));
+        host.member.peerPort = static_cast<uint16_t>(reader.requiredInteger("peerPort", 1, maxPort));
+        host.member.callerPort = static_cast<uint16_t>(reader.requiredInteger("callerPort", 1, maxPort));
+        host.member.operatorPort = static_cast<uint16_t>(reader.requiredInteger("operatorPort", 1, maxPort));
         host.leaving = reader.flag("leaving", false);
         return host;
     }
--- a/packages/store/Store.h
+++ b/packages/store/Store.h
@@ -63,7 +63,7 @@
 
 // Reason why a watch ended.
 enum class WatchEnd : uint8_t {
-    NoAnswer, // the watch can resume from its last revision
+    Unavailable, // the watch can resume from its last revision
     HistoryGone, // the requested revisions are no longer available: the whole range must be read again
     Stopped, // the handler returned false
 };
@@ -77,15 +77,15 @@
         std::vector<Compare> conditions, std::vector<WriteOperation> writes, Millis timeout)
         = 0;
     virtual boost::asio::awaitable<LeaseReply> grantLease(Millis ttl, Millis timeout) = 0;
-    virtual boost::asio::awaitable<LeaseReply> keepLease(int64_t id, Millis timeout) = 0;
+    virtual boost::asio::awaitable<LeaseReply> keepLeaseAlive(int64_t id, Millis timeout) = 0;
     virtual boost::asio::awaitable<StoreStatus> revokeLease(int64_t id, Millis timeout) = 0;
 
-    // Calls `handle` with each batch of events, starting at `fromRevision`. Returns when the stream ends, when nothing
-    // is received for `silence`, or when `handle` returns false. An implementation that can't tell these reasons apart
-    // returns `HistoryGone`.
+    // Calls `handler` with each batch of events, starting at `fromRevision`. Returns when the stream ends, when nothing
+    // is received for `idleTimeout`, or when `handler` returns false. An implementation that can't tell these reasons
+    // apart returns `HistoryGone`.
     using WatchHandler = std::function<bool(int64_t revision, const std::vector<WatchEvent>&)>;
     virtual boost::asio::awaitable<WatchEnd> watch(
-        std::string prefix, int64_t fromRevision, Millis silence, WatchHandler handle)
+        std::string prefix, int64_t fromRevision, Millis idleTimeout, WatchHandler handler)
         = 0;
 };
 
--- a/packages/web/HttpClient.cpp
+++ b/packages/web/HttpClient.cpp
@@ -17,12 +17,12 @@
 namespace {
 
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
-    constexpr uint64_t largestReply = 64'000'000;
+    constexpr uint64_t maxReplyBytes = 64'000'000;
     // Peers are a few ms away. The kernel retransmits a lost SYN only after one second (RFC 6298, section 2.1); failing
     // earlier lets the caller retry sooner, also right after a network partition has healed.
-    constexpr Millis connectWithin { 300 };
+    constexpr Millis maxConnectTimeout { 300 };
 
-    HttpReply lostReply()
+    HttpReply unansweredReply()
     {
         HttpReply reply;
         reply.mayHaveArrived = true;
@@ -51,11 +51,11 @@
     return {};
 }
 
-HttpClient::HttpClient(asio::any_io_executor executor, std::string address, uint16_t port, size_t mostIdle)
+HttpClient::HttpClient(asio::any_io_executor executor, std::string address, uint16_t port, size_t maxIdleConnections)
     : m_executor(std::move(executor))
     , m_address(std::move(address))
     , m_port(port)
-    , m_mostIdle(mostIdle)
+    , m_maxIdleConnections(maxIdleConnections)
 {
 }
 
@@ -64,31 +64,31 @@
 asio::awaitable<HttpClient::Stream> HttpClient::connect(Millis timeout)
 {
     auto stream = std::make_unique<beast::tcp_stream>(m_executor);
-    if (!co_await connectTo(*stream, m_address, m_port, std::min(timeout, connectWithin)))
+    if (!co_await connectTo(*stream, m_address, m_port, std::min(timeout, maxConnectTimeout)))
         co_return nullptr;
     co_return stream;
 }
 
-HttpClient::Stream HttpClient::takeIdle()
+HttpClient::Stream HttpClient::takeIdleConnection()
 {
     while (!m_idle.empty()) {
         Stream stream = std::move(m_idle.back());
         m_idle.pop_back();
-        if (!hasInput(*stream)) // input on an idle connection usually means that the peer closed it
+        if (!isReadable(*stream)) // input on an idle connection usually means that the peer closed it
             return stream;
     }
     return nullptr;
 }
 
-void HttpClient::keep(Stream stream)
+void HttpClient::returnToPool(Stream stream)
 {
-    if (m_idle.size() < m_mostIdle)
+    if (m_idle.size() < m_maxIdleConnections)
         m_idle.push_back(std::move(stream));
 }
 
 asio::awaitable<HttpReply> HttpClient::send(HttpCall call, Millis timeout)
 {
-    Stream stream = takeIdle();
+    Stream stream = takeIdleConnection();
     if (!stream)
         stream = co_await connect(timeout);
     if (!stream)
@@ -96,17 +96,17 @@
     co_return co_await exchange(std::move(stream), std::move(call), timeout);
 }
 
-asio::awaitable<HttpReply> HttpClient::send(CallMaker make, Millis timeout)
+asio::awaitable<HttpReply> HttpClient::send(CallFactory makeCall, Millis timeout)
 {
-    Stream stream = takeIdle();
-    const bool fresh = !stream;
-    if (fresh)
+    Stream stream = takeIdleConnection();
+    const bool newConnection = !stream;
+    if (newConnection)
         stream = co_await connect(timeout);
     if (!stream)
         co_return HttpReply {};
-    std::optional<HttpCall> call = make(fresh);
+    std::optional<HttpCall> call = makeCall(newConnection);
     if (!call) {
-        keep(std::move(stream));
+        returnToPool(std::move(stream));
         co_return HttpReply {};
     }
     co_return co_await exchange(std::move(stream), std::move(*call), timeout);
@@ -119,15 +119,15 @@
     const auto [writeError, written] = co_await http::async_write(*stream, request, token);
     if (writeError) {
         resetConnection(*stream);
-        co_return lostReply();
+        co_return unansweredReply();
     }
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(largestReply);
+    parser.body_limit(maxReplyBytes);
     const auto [readError, got] = co_await http::async_read(*stream, buffer, parser, token);
     if (readError) {
         resetConnection(*stream);
-        co_return lostReply();
+        co_return unansweredReply();
     }
 
     auto response = parser.release();
@@ -135,11 +135,11 @@
     for (const auto& field : response)
         reply.headers.emplace_back(field.name_string(), field.value());
     if (response.keep_alive() && !buffer.size())
-        keep(std::move(stream));
+        returnToPool(std::move(stream));
     co_return reply;
 }
 
-asio::awaitable<void> HttpClient::stream(HttpCall call, Millis connectTimeout, Millis silence, LineHandler handle)
+asio::awaitable<void> HttpClient::stream(HttpCall call, Millis connectTimeout, Millis idleTimeout, LineHandler handler)
 {
     const Stream stream = co_await connect(connectTimeout);
     if (!stream)
@@ -161,14 +161,14 @@
     while (!parser.is_done()) {
         parser.get().body().data = chunk.data();
         parser.get().body().size = chunk.size();
-        stream->expires_after(silence);
+        stream->expires_after(idleTimeout);
         const auto [error, bytes] = co_await http::async_read_some(*stream, buffer, parser, token);
         if (error && error != http::error::need_buffer)
             co_return;
         pending.append(chunk.data(), chunk.size() - parser.get().body().size);
         size_t end = 0;
         while ((end = pending.find('\n')) != std::string::npos) {
-            if (!handle(std::string_view(pending).substr(0, end)))
+            if (!handler(std::string_view(pending).substr(0, end)))
                 co_return;
             pending.erase(0, end + 1);
         }
--- a/packages/web/HttpClient.h
+++ b/packages/web/HttpClient.h
@@ -26,7 +26,7 @@
     HeaderList headers; // names as received
     bool mayHaveArrived = false; // some or all of the request may have reached the peer
 
-    bool arrived() const { return status; }
+    bool hasResponse() const { return status; }
     std::string_view header(std::string_view name) const; // empty if absent; case-insensitive
 };
 
@@ -41,32 +41,32 @@
 // failed or timed out is closed and never reused. Not thread-safe.
 class HttpClient {
 public:
-    HttpClient(boost::asio::any_io_executor, std::string address, uint16_t port, size_t mostIdle = 8);
+    HttpClient(boost::asio::any_io_executor, std::string address, uint16_t port, size_t maxIdleConnections = 8);
     ~HttpClient();
 
     boost::asio::awaitable<HttpReply> send(HttpCall, Millis timeout);
 
     // Builds the request after a connection has been chosen and tells the function whether the connection is new: a new
     // connection may reach another incarnation of the peer. The function returns nullopt to send nothing.
-    using CallMaker = std::function<std::optional<HttpCall>(bool newConnection)>;
-    boost::asio::awaitable<HttpReply> send(CallMaker, Millis timeout);
+    using CallFactory = std::function<std::optional<HttpCall>(bool newConnection)>;
+    boost::asio::awaitable<HttpReply> send(CallFactory, Millis timeout);
 
     // Sends the request and passes the response body to the handler line by line as it arrives. Returns when the body
-    // ends, when nothing is received for `silence`, or when the handler returns false.
+    // ends, when nothing is received for `idleTimeout`, or when the handler returns false.
     using LineHandler = std::function<bool(std::string_view line)>;
-    boost::asio::awaitable<void> stream(HttpCall, Millis connectTimeout, Millis silence, LineHandler);
+    boost::asio::awaitable<void> stream(HttpCall, Millis connectTimeout, Millis idleTimeout, LineHandler);
 
 private:
     using Stream = std::unique_ptr<boost::beast::tcp_stream>;
     boost::asio::awaitable<Stream> connect(Millis timeout);
-    Stream takeIdle(); // null if no idle connection is still open
-    void keep(Stream);
+    Stream takeIdleConnection(); // null if no idle connection is still open
+    void returnToPool(Stream);
     boost::asio::awaitable<HttpReply> exchange(Stream, HttpCall, Millis timeout);
 
     boost::asio::any_io_executor m_executor;
     std::string m_address;
     uint16_t m_port;
-    size_t m_mostIdle;
+    size_t m_maxIdleConnections;
     std::vector<Stream> m_idle;
 };
 
--- a/packages/web/HttpServer.cpp
+++ b/packages/web/HttpServer.cpp
@@ -24,8 +24,8 @@
 namespace {
 
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
-    constexpr uint64_t largestControlBody = 64'000'000;
-    constexpr uint32_t largestControlHeader = 64 * 1024;
+    constexpr uint64_t maxControlBodyBytes = 64'000'000;
+    constexpr uint32_t maxControlHeaderBytes = 64 * 1024;
     constexpr Millis idleTimeout { 120'000 };
 
 }
@@ -39,17 +39,17 @@
 namespace {
 
     // Registers a connection in the set of open connections for the lifetime of this object.
-    class Listed {
+    class OpenConnection {
     public:
-        Listed(std::set<beast::tcp_stream*>& open, beast::tcp_stream& stream)
+        OpenConnection(std::set<beast::tcp_stream*>& open, beast::tcp_stream& stream)
             : m_open(open)
             , m_stream(&stream)
         {
             m_open.insert(m_stream);
         }
-        ~Listed() { m_open.erase(m_stream); }
-        Listed(const Listed&) = delete;
-        Listed& operator=(const Listed&) = delete;
+        ~OpenConnection() { m_open.erase(m_stream); }
+        OpenConnection(const OpenConnection&) = delete;
+        OpenConnection& operator=(const OpenConnection&) = delete;
 
     private:
         std::set<beast::tcp_stream*>& m_open;
@@ -57,16 +57,16 @@
     };
 
     // `owner` keeps the referenced objects alive after the HttpServer has been destroyed.
-    asio::awaitable<void> serve([[maybe_unused]] std::shared_ptr<void> owner, tcp::socket socket,
+    asio::awaitable<void> serveConnection([[maybe_unused]] std::shared_ptr<void> owner, tcp::socket socket,
         HttpServer::Handler handler, std::set<beast::tcp_stream*>& open)
     {
         beast::tcp_stream stream(std::move(socket));
-        const Listed listed(open, stream);
+        const OpenConnection openConnection(open, stream);
         beast::flat_buffer buffer;
         for (;;) {
             http::request_parser<http::string_body> parser;
-            parser.body_limit(largestControlBody);
-            parser.header_limit(largestControlHeader);
+            parser.body_limit(maxControlBodyBytes);
+            parser.header_limit(maxControlHeaderBytes);
             stream.expires_after(idleTimeout);
             const auto [readError, got] = co_await http::async_read(stream, buffer, parser, token);
             if (readError)
@@ -83,14 +83,15 @@
         }
     }
 
-    asio::awaitable<void> acceptAll(std::shared_ptr<void> owner, tcp::acceptor& acceptor, HttpServer::Handler& handler,
-        std::set<beast::tcp_stream*>& open)
+    asio::awaitable<void> acceptConnections(std::shared_ptr<void> owner, tcp::acceptor& acceptor,
+        HttpServer::Handler& handler, std::set<beast::tcp_stream*>& open)
     {
         for (;;) {
             auto socket = co_await acceptFrom(acceptor);
             if (!socket)
                 co_return;
-            asio::co_spawn(acceptor.get_executor(), serve(owner, std::move(*socket), handler, open), asio::detached);
+            asio::co_spawn(
+                acceptor.get_executor(), serveConnection(owner, std::move(*socket), handler, open), asio::detached);
         }
     }
 
@@ -131,7 +132,7 @@
         Shared { tcp::acceptor(executor, { asio::ip::make_address(address), port }), std::move(handler) }))
 {
     asio::co_spawn(
-        executor, acceptAll(m_shared, m_shared->acceptor, m_shared->handler, m_shared->open), asio::detached);
+        executor, acceptConnections(m_shared, m_shared->acceptor, m_shared->handler, m_shared->open), asio::detached);
 }
 
 HttpServer::~HttpServer() { stop(); }
@@ -144,7 +145,7 @@
     m_shared->acceptor.close(ignored);
 }
 
-void HttpServer::endConnections()
+void HttpServer::closeConnections()
 {
     boost::system::error_code ignored;
     for (auto* stream : m_shared->open)
--- a/packages/web/HttpServer.h
+++ b/packages/web/HttpServer.h
@@ -37,7 +37,7 @@
     ~HttpServer();
     uint16_t port() const;
     void stop(); // stops accepting connections
-    void endConnections(); // closes all open connections, as the exit of the process would
+    void closeConnections(); // closes all open connections, as the exit of the process would
 
 private:
     struct Shared;
--- a/packages/web/Signal.cpp
+++ b/packages/web/Signal.cpp
@@ -45,11 +45,11 @@
         timer.cancel();
 }
 
-asio::awaitable<void> Signal::wait(Millis atMost)
+asio::awaitable<void> Signal::wait(Millis timeout)
 {
-    const auto mine = m_waiting.emplace(m_waiting.end(), m_executor, atMost);
-    co_await mine->async_wait(token);
-    m_waiting.erase(mine);
+    const auto timer = m_waiting.emplace(m_waiting.end(), m_executor, timeout);
+    co_await timer->async_wait(token);
+    m_waiting.erase(timer);
 }
 
 }
--- a/packages/web/Signal.h
+++ b/packages/web/Signal.h
@@ -26,7 +26,7 @@
     }
 
     void notifyAll(); // ends all waits in progress
-    boost::asio::awaitable<void> wait(Millis atMost);
+    boost::asio::awaitable<void> wait(Millis timeout);
 
 private:
     boost::asio::any_io_executor m_executor;
--- a/packages/web/Sockets.cpp
+++ b/packages/web/Sockets.cpp
@@ -16,18 +16,18 @@
 namespace {
 
     constexpr auto token = asio::as_tuple(asio::use_awaitable);
-    constexpr Millis afterAcceptError { 20 };
+    constexpr Millis acceptRetryDelay { 20 };
 
     // Returns 1 if a byte can be read, 0 at the end of the stream or after an error, -1 if there is nothing to read.
     ssize_t peek(boost::beast::tcp_stream& stream)
     {
         char byte = 0;
-        const ssize_t got = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        const bool nothing = got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
-        return got < 0 && !nothing ? 0 : got;
+        const ssize_t received = ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+        const bool wouldBlock = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+        return received < 0 && !wouldBlock ? 0 : received;
     }
 
-    void sendAtOnce(tcp::socket& socket)
+    void disableNagle(tcp::socket& socket)
     {
         boost::system::error_code ignored; // the peer may have closed the connection already
         socket.set_option(tcp::no_delay(true), ignored);
@@ -36,7 +36,7 @@
     // Otherwise a request that was abandoned during a network partition would be delivered when the partition heals,
     // seconds later: a server would take an old grant for a new one. The option is set right after connecting, not when
     // a connection is abandoned, because a stream closes its socket by itself when its timeout expires.
-    void dropBytesOnClose(tcp::socket& socket)
+    void setResetOnClose(tcp::socket& socket)
     {
         boost::system::error_code ignored; // the peer may have closed the connection already
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -44,7 +44,7 @@
 
     // Keep-alive probes close a connection with a dead network path after about three seconds (tcp(7), TCP_KEEPIDLE and
     // following). Without probes, the failure would only be detected by losing a request.
-    void probeWhileIdle(tcp::socket& socket)
+    void enableKeepAliveProbes(tcp::socket& socket)
     {
         using Seconds = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
         using Interval = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
@@ -67,9 +67,9 @@
     stream.expires_after(timeout);
     const auto [error] = co_await stream.async_connect(endpoint, token);
     if (!error) {
-        sendAtOnce(stream.socket());
-        dropBytesOnClose(stream.socket());
-        probeWhileIdle(stream.socket());
+        disableNagle(stream.socket());
+        setResetOnClose(stream.socket());
+        enableKeepAliveProbes(stream.socket());
     }
     co_return !error;
 }
@@ -81,11 +81,11 @@
         if (error == asio::error::operation_aborted || !acceptor.is_open())
             co_return std::nullopt;
         if (!error) {
-            sendAtOnce(socket);
+            disableNagle(socket);
             co_return std::move(socket);
         }
         // Most likely out of file descriptors: an immediate retry would keep a core busy until some are free.
-        co_await sleepFor(afterAcceptError);
+        co_await sleepFor(acceptRetryDelay);
     }
 }
 
@@ -95,8 +95,8 @@
     stream.socket().close(ignored);
 }
 
-bool hasInput(boost::beast::tcp_stream& stream) { return peek(stream) >= 0; }
+bool isReadable(boost::beast::tcp_stream& stream) { return peek(stream) >= 0; }
 
-bool hasEnded(boost::beast::tcp_stream& stream) { return peek(stream) == 0; }
+bool isClosedByPeer(boost::beast::tcp_stream& stream) { return peek(stream) == 0; }
 
 }
--- a/packages/web/Sockets.h
+++ b/packages/web/Sockets.h
@@ -22,7 +22,7 @@
 void resetConnection(boost::beast::tcp_stream&);
 
 // For idle connections, on which no input is expected.
-bool hasInput(boost::beast::tcp_stream&); // the peer closed the connection or sent unexpected bytes
-bool hasEnded(boost::beast::tcp_stream&); // the peer closed the connection, or the connection failed
+bool isReadable(boost::beast::tcp_stream&); // the peer closed the connection or sent unexpected bytes
+bool isClosedByPeer(boost::beast::tcp_stream&); // the peer closed the connection, or the connection failed
 
 }
--- a/standins/callers.cpp
+++ b/standins/callers.cpp
@@ -250,7 +250,7 @@
         sent.status = reply.status;
         sent.ran = reply.header("Cumindale-Ran");
         sent.error = reply.header("Cumindale-Error");
-        if (!reply.arrived())
+        if (!reply.hasResponse())
             host.avoidUntil = m_clock.now() + avoidFailedHost;
         if (reply.status == 200)
             sent.wrong = !matches(reply.body, sent, call.body.size());
--- a/tests/fake_store.h
+++ b/tests/fake_store.h
@@ -69,7 +69,7 @@
     {
         co_return LeaseReply { StoreStatus::Ok, 7, ttl };
     }
-    boost::asio::awaitable<LeaseReply> keepLease(int64_t id, Millis) override
+    boost::asio::awaitable<LeaseReply> keepLeaseAlive(int64_t id, Millis) override
     {
         co_return LeaseReply { StoreStatus::Ok, id, Millis(2000) };
     }
--- a/tests/sockets_test.cpp
+++ b/tests/sockets_test.cpp
@@ -43,6 +43,6 @@
     clientThread.join();
     CHECK(closeReason == asio::error::connection_reset);
     const HttpReply result = reply.get();
-    CHECK(!result.arrived());
+    CHECK(!result.hasResponse());
     CHECK(result.mayHaveArrived);
 }
