--- a/apps/cumindalectl/Commands.cpp
+++ b/apps/cumindalectl/Commands.cpp
@@ -102,7 +102,7 @@
 
     int printReply(const CommandOptions& options, const HttpReply& reply)
     {
-        if (!reply.arrived()) {
+        if (!reply.hasResponse()) {
             std::cerr << "cumindalectl: no response from " << options.address << ':' << options.port << '\n';
             return ExitUnavailable;
         }
