--- a/packages/base/ErrorKind.h
+++ b/packages/base/ErrorKind.h
@@ -1,7 +1,7 @@
-// The closed list of ways in which the system itself answers a request, and the one table from kind to answer.
+// All errors that the router itself returns for a request, and the table that maps each error kind to its response.
 //
-// Every answer that does not come from a backend server goes through answerFor(). Add a kind here and a row
-// in ErrorKind.cpp; nothing else decides a status, or what `Cumindale-Ran` says.
+// Every response that does not come from a backend server goes through answerFor(). To add an error, add a kind here
+// and a row in ErrorKind.cpp; no other code chooses a status or the value of `Cumindale-Ran`.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace cumindale {
 
-// What the system knows of whether the request ran at a backend server.
+// Whether the request was executed by a backend server, as far as the router knows.
 enum class Ran : uint8_t {
-    No, // no byte reached a server, or the server said that it refused
+    No, // no byte reached a server, or the server reported that it refused the request
     Yes, // a server answered
-    Unknown, // it was sent and no answer came
+    Unknown, // the request was sent and no response arrived
 };
 
 enum class ErrorKind : uint8_t {
@@ -26,37 +26,37 @@
     KeyTooLong,
     UnknownService,
     TooManyConnections,
-    MemoryBudget, // bodies being received fill the memory set aside for them
-    NotFresh, // this host can't confirm that its table is the newest
-    NoOwner, // the key has no owner now
-    Moving, // the key is between two owners
-    WarmingUp, // the server takes hardly any requests for now: it has just started
-    ServerResting, // the server has asked this host for no requests for a while
-    ServerAtLimit, // the servers that could run it get no more requests a second than they have named
-    OwnerChanged, // while it waited, its server left or its key moved
-    Quarantined, // it crashed the servers that ran it
+    MemoryBudget, // request bodies being received use up the memory reserved for them
+    NotFresh, // this host can't confirm that its routing table is current
+    NoOwner, // the key has no owner at present
+    Moving, // ownership of the key is being transferred to another server
+    WarmingUp, // the server has just started and accepts only a low rate of requests
+    ServerResting, // the server has asked this host to pause requests for a while
+    ServerAtLimit, // all eligible servers have reached the request rate limits that they announced
+    OwnerChanged, // while the request was queued, its server left or its key moved
+    Quarantined, // the request crashed the servers that executed it
     Overloaded, // the owner's queue is full, or the deadline can't be met
-    ServerRefused, // the server said that it did not run it
-    ServerUnreachable, // no connection: nothing was sent
+    ServerRefused, // the server reported that it did not execute the request
+    ServerUnreachable, // connecting failed: nothing was sent
     DeadlineBeforeSend, // the deadline passed while the request was queued
-    DeadlineAfterSend, // sent, and no answer before the deadline
-    ConnectionLost, // sent, and the connection ended without an answer
-    BadAnswer, // the server's answer can't be parsed, or belongs to another request
-    ServerFailed, // the server answered with a failure of its own
+    DeadlineAfterSend, // the request was sent and no response arrived before the deadline
+    ConnectionLost, // the request was sent and the connection closed without a response
+    BadAnswer, // the server's response can't be parsed, or belongs to another request
+    ServerFailed, // the server responded with an error of its own
     ShuttingDown,
     Internal,
 };
 
 constexpr size_t errorKindCount = static_cast<size_t>(ErrorKind::Internal) + 1;
 
-// One row of the table.
+// Response to one kind of error.
 struct ErrorAnswer {
     ErrorKind kind = ErrorKind::None;
     std::string_view name; // as in `Cumindale-Error` and in the metrics
     unsigned status = 500; // HTTP status
     Ran ran = Ran::No;
-    bool retryAfter = false; // whether the answer says when to come back
-    bool retryable = false; // whether another try may succeed; non-idempotent ones also need Ran::No
+    bool retryAfter = false; // whether the response says when to retry
+    bool retryable = false; // whether a retry may succeed; retrying a non-idempotent request also requires Ran::No
 };
 
 const ErrorAnswer& answerFor(ErrorKind);
--- a/packages/base/Hash.h
+++ b/packages/base/Hash.h
@@ -1,4 +1,4 @@
-// Where a key lies in its service's space. XXH3, 64 bits (xxhash library).
+// Maps keys to points in the 64-bit hash space of their service (XXH3 of the xxhash library).
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,10 @@
 namespace cumindale {
 
 std::string pointText(uint64_t point); // 16 hexadecimal digits
-// Of several texts, told apart by their lengths; another one for each `seed`.
+// Hash of a list of texts. Their lengths are hashed too, so that lists with equal concatenations differ. Each `seed`
+// gives a different hash function.
 uint64_t hashOf(uint64_t seed, std::initializer_list<std::string_view> parts);
-uint64_t pointOfKey(std::string_view key); // the same on every host and in every version: tables depend on it
+uint64_t pointOfKey(
+    std::string_view key); // must be identical on all hosts and in all versions: routing tables depend on it
 
 }
--- a/packages/base/Log.cpp
+++ b/packages/base/Log.cpp
@@ -27,7 +27,7 @@
         return name;
     }
 
-    constexpr size_t linesWaiting = 4'096; // for the writer; about 1 MB
+    constexpr size_t linesWaiting = 4'096; // lines queued for the writer thread; about 1 MB
 
     boost::shared_ptr<boost::log::sinks::sink>& writer()
     {
@@ -60,8 +60,8 @@
 {
     namespace expressions = boost::log::expressions;
     namespace sinks = boost::log::sinks;
-    // A thread of its own writes the lines. A reader that stops reading fills the queue, and lines are dropped: no
-    // request ever waits for the log.
+    // Writes the lines on a separate thread. If the reader of standard output stalls, the queue fills up and lines are
+    // dropped, so that no request ever waits for the log.
     using Backend = sinks::text_ostream_backend;
     using Sink = sinks::asynchronous_sink<Backend, sinks::bounded_fifo_queue<linesWaiting, sinks::drop_on_overflow>>;
     const auto backend = boost::make_shared<Backend>();
--- a/packages/base/Log.h
+++ b/packages/base/Log.h
@@ -1,7 +1,7 @@
-// Structured logs: one JSON object a line on standard output. A line for each decision that touches a request or
-// changes what the process believes; what succeeds as usual is only counted, in Metrics.
+// Structured logs: one JSON object per line on standard output. Each decision that affects a request or changes the
+// state of the process is logged; routine successes are only counted, in Metrics.
 //
-// Writing never blocks: lines wait in a bounded queue for a thread of their own, and are dropped when it is full.
+// Logging never blocks: lines are queued for a writer thread, and dropped when the bounded queue is full.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -11,8 +11,8 @@
 
 enum class LogLevel { Info, Warning, Error };
 
-void startLog(std::string_view host, LogLevel least = LogLevel::Info); // once, before the first line
-void stopLog(); // writes what waits; nothing is logged after it
+void startLog(std::string_view host, LogLevel least = LogLevel::Info); // call once, before the first line is logged
+void stopLog(); // writes the queued lines; later lines are not logged
 void logChange(LogLevel, std::string_view event, boost::json::object fields = {}); // thread-safe
 
 }
--- a/packages/base/Metrics.h
+++ b/packages/base/Metrics.h
@@ -1,7 +1,7 @@
-// Counters, gauges and distributions of one process, read as text at /metrics.
+// Counters, gauges and distributions of one process, served as text at /metrics.
 //
-// Counters and gauges are atomics: any thread may add. A Distribution belongs to one thread and is copied out
-// under its own lock, so a reader never stops a request for longer than one copy.
+// Counters and gauges are atomics that any thread may update. A Distribution is updated by one thread and copied
+// under its own lock, so that a reader delays a request by no more than the time of one copy.
 #pragma once
 
 #include <atomic>
@@ -17,14 +17,14 @@
 class Counter {
 public:
     void add(uint64_t count = 1) { m_value.fetch_add(count, std::memory_order_relaxed); }
-    void set(uint64_t value) { m_value.store(value, std::memory_order_relaxed); } // as a gauge
+    void set(uint64_t value) { m_value.store(value, std::memory_order_relaxed); } // for gauges
     uint64_t value() const { return m_value.load(std::memory_order_relaxed); }
 
 private:
     std::atomic<uint64_t> m_value { 0 };
 };
 
-// Count, mean, p50, p99 and maximum since the start (Boost.Accumulators, P² quantiles). Unit: microseconds.
+// Count, mean, p50, p99 and maximum since process start, in microseconds (Boost.Accumulators, P² quantiles).
 class Distribution {
 public:
     Distribution();
@@ -40,7 +40,8 @@
 
 class Metrics {
 public:
-    Counter& counter(const std::string& name); // the same object for the same name; keep the reference
+    Counter& counter(
+        const std::string& name); // returns the same object for the same name; callers should keep the reference
     Distribution& distribution(const std::string& name);
     std::string text() const; // `name value` lines, sorted
 
--- a/packages/base/Random.h
+++ b/packages/base/Random.h
@@ -1,4 +1,4 @@
-// Random numbers for spreading and for ids; not for secrets.
+// Random numbers for jitter, load spreading and ids. Not cryptographically secure.
 #pragma once
 
 #include "base/Time.h"
@@ -7,7 +7,7 @@
 
 namespace cumindale {
 
-uint64_t randomNumber(); // uniform over 64 bits, never 0; a generator for each thread
-Millis randomBelow(Millis limit); // 0 to limit, both included
+uint64_t randomNumber(); // uniform over 64 bits, never 0; each thread has its own generator
+Millis randomBelow(Millis limit); // uniform from 0 to limit, both included
 
 }
--- a/packages/base/Ring.h
+++ b/packages/base/Ring.h
@@ -1,7 +1,7 @@
-// Bounded ring that joins two duties: one thread pushes, one thread takes.
+// Bounded single-producer, single-consumer ring buffer that connects two threads.
 //
-// push() never blocks and never grows: it returns false when the ring is full, and the producer keeps its
-// newest state to send again. The consumer is woken once for any number of waiting messages.
+// push() never blocks or allocates more slots: it returns false when the ring is full, and the producer keeps its
+// newest state to send later. The consumer is woken once for any number of queued messages.
 #pragma once
 
 #include <atomic>
@@ -13,7 +13,7 @@
 
 template <typename Message> class Ring {
 public:
-    // `wake` runs on the producer's thread and must make the consumer call drain() on its own thread.
+    // `wake` runs on the producer's thread and must make the consumer's thread call drain().
     Ring(size_t capacity, std::function<void()> wake)
         : m_queue(capacity)
         , m_wake(std::move(wake))
@@ -31,7 +31,8 @@
 
     template <typename Handler> void drain(Handler&& handle)
     {
-        // Cleared first: a message pushed from here on wakes the consumer again, so none is left behind.
+        // The flag is cleared before draining, so that a message pushed meanwhile wakes the consumer again and none is
+        // left in the ring.
         m_wakePending.store(false);
         Message message;
         while (m_queue.pop(message))
--- a/packages/base/Spans.h
+++ b/packages/base/Spans.h
@@ -1,6 +1,6 @@
-// Traces: a span for each hop of a request, and W3C Trace Context (`traceparent`, version 00) on the wire.
+// Distributed tracing: one span per hop of a request, propagated as W3C Trace Context (`traceparent`, version 00).
 //
-// A host keeps its newest spans in memory; `cumindalectl trace ID` collects those of one request from all hosts.
+// Each host keeps its newest spans in memory; `cumindalectl trace ID` collects the spans of one request from all hosts.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace cumindale {
 
-// Identity that travels with a request.
+// Trace identity that is propagated with a request.
 struct TraceContext {
     uint64_t traceHigh = 0;
     uint64_t traceLow = 0;
@@ -26,14 +26,14 @@
 
 struct Span {
     TraceContext context;
-    uint64_t parent = 0; // 0 for a root
-    std::string_view hop; // a literal: "caller", "queue", "dispatch", "relay"
-    std::string detail; // service, server or error
-    int64_t startMicros = 0; // this host's monotonic clock
+    uint64_t parent = 0; // id of the parent span; 0 for a root span
+    std::string_view hop; // a string literal: "caller", "queue", "dispatch", "relay"
+    std::string detail; // name of the service, server or error
+    int64_t startMicros = 0; // on this host's monotonic clock
     int64_t durationMicros = 0;
 };
 
-// Newest spans of this host. Thread-safe.
+// The newest spans of this host. Thread-safe.
 class SpanLog {
 public:
     explicit SpanLog(size_t capacity);
--- a/packages/base/Time.cpp
+++ b/packages/base/Time.cpp
@@ -14,8 +14,8 @@
 
 int64_t SystemClock::monotonicMicros() const
 {
-    // CLOCK_BOOTTIME also counts time in which the machine was suspended. A lease must not outlive a
-    // suspended host: CLOCK_MONOTONIC would stand still and the host would wake believing it is fresh.
+    // CLOCK_BOOTTIME also counts the time during which the machine is suspended. CLOCK_MONOTONIC would stop, and a
+    // resumed host would treat an expired lease as valid.
     timespec now {};
     clock_gettime(CLOCK_BOOTTIME, &now);
     return static_cast<int64_t>(now.tv_sec) * 1'000'000 + now.tv_nsec / 1000;
--- a/packages/base/Time.h
+++ b/packages/base/Time.h
@@ -1,6 +1,6 @@
-// Time in the whole system: whole milliseconds on a monotonic clock.
+// Time types used throughout the project: whole milliseconds on a monotonic clock.
 //
-// Decisions never read a clock; an Instant is passed to them. Only drivers hold a Clock.
+// Decision logic never reads a clock; the current Instant is passed in. Only the code that drives it holds a Clock.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,7 @@
 
 using Millis = std::chrono::milliseconds;
 
-// Tag that keeps our instants apart from those of the standard clocks.
+// Tag type that makes Instant a distinct type from the time points of the standard clocks.
 struct MonotonicDomain {
     using rep = Millis::rep;
     using period = Millis::period;
@@ -19,16 +19,16 @@
     static constexpr bool is_steady = true;
 };
 
-using Instant = MonotonicDomain::time_point; // a moment on this host's monotonic clock
+using Instant = MonotonicDomain::time_point; // a time point on this host's monotonic clock
 
 constexpr Instant instantFromMillis(int64_t ms) { return Instant(Millis(ms)); }
 constexpr int64_t toMillis(Instant instant) { return instant.time_since_epoch().count(); }
 
-// Source of time, injected so that tests can step it.
+// Time source, injected so that tests can control it.
 class Clock {
 public:
     virtual ~Clock() = default;
-    virtual Instant now() const = 0; // monotonic, goes on while the process is stopped
+    virtual Instant now() const = 0; // monotonic; keeps advancing while the process is stopped
     virtual int64_t unixMillis() const = 0; // wall clock, for absolute deadlines sent to servers
     virtual int64_t monotonicMicros() const = 0; // for spans and latency only
 };
--- a/packages/peers/Coordination.h
+++ b/packages/peers/Coordination.h
@@ -1,4 +1,5 @@
-// Reports of hosts to the coordinator, and its advice: see coordination.thrift.
+// Client and server of the Coordination service: hosts report to the coordinator and receive advice from it. See
+// coordination.thrift.
 #pragma once
 
 #include "peers/FrameLink.h"
@@ -30,11 +31,11 @@
     std::unique_ptr<Codec> m_codec;
 };
 
-// To "IP:port"; null: that is no address.
+// Creates a link to `address`, given as "IP:port"; null if the address is invalid.
 std::unique_ptr<CoordinationLink> makeCoordinationLink(
     boost::asio::any_io_executor, const std::string& address, Counter& bytesSent);
 
-// Who answers. Called on the executor's thread; must not block.
+// Handles incoming calls. Called on the executor's thread; must not block.
 class CoordinationHandler {
 public:
     virtual ~CoordinationHandler() = default;
--- a/packages/peers/Deflate.cpp
+++ b/packages/peers/Deflate.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-    // A document of routes shrinks to a tenth at the lowest level; higher ones take up to five times as long for a
-    // tenth of the rest.
+    // The lowest level compresses a routes document to a tenth of its size. Higher levels take up to five times as
+    // long and save only another tenth of the compressed size.
     constexpr int level = 1;
     constexpr int windowBits = 15;
-    constexpr int memoryLevel = 8; // 256 kB while it runs
+    constexpr int memoryLevel = 8; // uses 256 kB during compression
 
     template <typename Input> zlib::z_params paramsFor(const Input& in, std::string& out)
     {
@@ -43,7 +43,7 @@
 {
     zlib::inflate_stream stream;
     stream.reset(windowBits);
-    // One byte more than it may have: what is longer shows.
+    // The buffer has one extra byte, so that output longer than `size` is detected.
     std::string out(size + 1, '\0');
     zlib::z_params params = paramsFor(compressed, out);
     boost::beast::error_code error;
--- a/packages/peers/Deflate.h
+++ b/packages/peers/Deflate.h
@@ -1,4 +1,4 @@
-// Compression of what hosts tell each other (raw deflate, RFC 1951).
+// Compression of messages between hosts (raw deflate, RFC 1951).
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 namespace cumindale {
 
 std::string deflated(std::string_view);
-// Nothing: not deflated, or not of `size` bytes.
+// Returns nothing if the input is not valid deflate data or does not decompress to exactly `size` bytes.
 std::optional<std::string> inflated(std::string_view, size_t size);
 
 }
--- a/packages/peers/Frame.h
+++ b/packages/peers/Frame.h
@@ -1,4 +1,4 @@
-// Thrift's framed transport over Asio: a 4-byte big-endian length, then the message.
+// Thrift's framed transport over Asio: a 4-byte big-endian length followed by the message.
 #pragma once
 
 #include <boost/asio/as_tuple.hpp>
@@ -14,7 +14,7 @@
 
 constexpr uint32_t largestFrame = 16'000'000;
 
-// Both return false when the connection failed or the frame is too large.
+// readFrame() and writeFrame() return false when the connection fails; readFrame() also when the frame is too large.
 template <typename Stream> boost::asio::awaitable<bool> readFrame(Stream& stream, std::string& frame)
 {
     constexpr auto token = boost::asio::as_tuple(boost::asio::use_awaitable);
--- a/packages/peers/FrameLink.cpp
+++ b/packages/peers/FrameLink.cpp
@@ -18,7 +18,7 @@
 
 asio::awaitable<bool> FrameLink::exchange(TMemoryBuffer& out, TMemoryBuffer& in, Millis timeout)
 {
-    // The connection is put back only after a whole answer.
+    // The connection is kept only after a complete response.
     auto stream = std::move(m_stream);
     const std::string question = out.getBufferAsString();
     out.resetBuffer();
--- a/packages/peers/FrameLink.h
+++ b/packages/peers/FrameLink.h
@@ -1,5 +1,5 @@
-// One connection to one peer. Questions go one at a time; one that gets no answer in time closes the
-// connection, so that its late answer can't be taken for that of the next question.
+// Connection to one peer, with one outstanding request at a time. A request that times out closes the connection, so
+// that its late response can't be mistaken for the response to the next request.
 #pragma once
 
 #include "base/Metrics.h"
@@ -18,10 +18,11 @@
 public:
     FrameLink(boost::asio::any_io_executor, std::string address, uint16_t port, Counter& bytesSent);
 
-    // Sends what is in `out` as one frame, reads the answer's frame into `in`. False: no whole answer in time.
+    // Sends the content of `out` as one frame and reads the response frame into `in`. Returns false if no complete
+    // response arrives within the timeout.
     boost::asio::awaitable<bool> exchange(
         apache::thrift::transport::TMemoryBuffer& out, apache::thrift::transport::TMemoryBuffer& in, Millis timeout);
-    void drop() { m_stream.reset(); } // the peer spoke another protocol: nothing more can be expected of it
+    void drop() { m_stream.reset(); } // closes the connection after a response that can't be parsed
     const std::string& address() const { return m_address; }
     uint16_t port() const { return m_port; }
 
--- a/packages/peers/FrameServer.cpp
+++ b/packages/peers/FrameServer.cpp
@@ -39,7 +39,7 @@
             processor->process(
                 std::make_shared<TCompactProtocol>(in), std::make_shared<TCompactProtocol>(out), nullptr);
         } catch (const apache::thrift::TException&) {
-            return false; // not our protocol
+            return false; // not a valid message of this Thrift service
         }
         reply = out->getBufferAsString();
         bytesSent.add(reply.size() + sizeof(uint32_t));
--- a/packages/peers/FrameServer.h
+++ b/packages/peers/FrameServer.h
@@ -1,4 +1,4 @@
-// Answers framed questions on this host's peer port, by the processor of any Thrift service.
+// Serves framed Thrift requests on this host's peer port, using the processor of any Thrift service.
 #pragma once
 
 #include "base/Metrics.h"
--- a/packages/peers/PeerLink.h
+++ b/packages/peers/PeerLink.h
@@ -1,5 +1,5 @@
-// One connection to one peer. Questions go one at a time; one that gets no answer in time closes the
-// connection, so that its late answer can't be taken for that of the next question.
+// Connection to one peer, with one outstanding request at a time. A request that times out closes the connection, so
+// that its late response can't be mistaken for the response to the next request.
 #pragma once
 
 #include "base/Metrics.h"
@@ -23,7 +23,7 @@
     PeerLink(boost::asio::any_io_executor, std::string address, uint16_t port, Counter& bytesSent);
     ~PeerLink();
 
-    // Nothing: no whole answer within the time.
+    // These calls return nothing, or false, if no complete response arrives within the timeout.
     boost::asio::awaitable<std::optional<wire::Beat>> beat(wire::Beat, Millis timeout);
     boost::asio::awaitable<bool> load(wire::LoadReport, Millis timeout);
     boost::asio::awaitable<std::optional<std::string>> table(std::string service, Millis timeout);
@@ -33,7 +33,7 @@
 private:
     struct Codec;
     template <typename Receive>
-    boost::asio::awaitable<bool> ask(Millis timeout, Receive); // exchange, then take the answer
+    boost::asio::awaitable<bool> ask(Millis timeout, Receive); // sends the request and decodes the response
     boost::asio::awaitable<std::optional<std::string>> askText(
         Millis timeout, void (wire::PeersClient::*receive)(std::string&));
 
--- a/packages/peers/PeerServer.h
+++ b/packages/peers/PeerServer.h
@@ -1,4 +1,4 @@
-// Answers peers' questions on this host's peer port.
+// Serves requests of peers on this host's peer port.
 #pragma once
 
 #include "base/Metrics.h"
@@ -11,7 +11,7 @@
 
 namespace cumindale {
 
-// Who answers. Called on the executor's thread; must not block.
+// Handles incoming calls. Called on the executor's thread; must not block.
 class PeerHandler {
 public:
     virtual ~PeerHandler() = default;
--- a/packages/peers/Wire.h
+++ b/packages/peers/Wire.h
@@ -1,4 +1,4 @@
-// From the generated wire types to ours and back.
+// Conversion between the generated wire types and the project's own types.
 #pragma once
 
 #include "decisions/RoutingLease.h"
@@ -7,13 +7,13 @@
 
 namespace cumindale {
 
-// All that a host says of itself in a beat.
+// State of a host as it reports it in a heartbeat.
 struct PeerState {
     KnownVersions known;
     int64_t resourcesKnown = 0;
-    HostReport report; // its age is as of when the state was made
+    HostReport report; // its age is relative to the creation of this state
 
-    bool sameAs(const PeerState&) const; // but for the age
+    bool sameAs(const PeerState&) const; // ignores the age of the report
 };
 
 wire::HostState toWire(const PeerState&);
