--- a/packages/base/ErrorKind.cpp
+++ b/packages/base/ErrorKind.cpp
@@ -7,7 +7,7 @@
 namespace {
 
     // kind, name, status, ran, retry-after, retryable
-    constexpr std::array<ErrorAnswer, errorKindCount> answers { {
+    constexpr std::array<ErrorInfo, errorKindCount> errorInfos { {
         { ErrorKind::None, "none", 200, Ran::Yes, false, false },
         { ErrorKind::BadRequest, "bad-request", 400, Ran::No, false, false },
         { ErrorKind::HeadersTooLarge, "headers-too-large", 431, Ran::No, false, false },
@@ -40,17 +40,17 @@
 
     constexpr bool rowsAreInOrder()
     {
-        for (size_t i = 0; i < answers.size(); ++i) {
-            if (static_cast<size_t>(answers[i].kind) != i)
+        for (size_t i = 0; i < errorInfos.size(); ++i) {
+            if (static_cast<size_t>(errorInfos[i].kind) != i)
                 return false;
         }
         return true;
     }
-    static_assert(rowsAreInOrder(), "answers must list the kinds in the order of ErrorKind");
+    static_assert(rowsAreInOrder(), "errorInfos must list the kinds in the order of ErrorKind");
 
 }
 
-const ErrorAnswer& answerFor(ErrorKind kind) { return answers[static_cast<size_t>(kind)]; }
+const ErrorInfo& errorInfo(ErrorKind kind) { return errorInfos[static_cast<size_t>(kind)]; }
 
 std::string_view toString(Ran ran)
 {
--- a/packages/base/ErrorKind.h
+++ b/packages/base/ErrorKind.h
@@ -1,6 +1,6 @@
 // All errors that the router itself returns for a request, and the table that maps each error kind to its response.
 //
-// Every response that does not come from a backend server goes through answerFor(). To add an error, add a kind here
+// Every response that does not come from a backend server goes through errorInfo(). To add an error, add a kind here
 // and a row in ErrorKind.cpp; no other code chooses a status or the value of `Cumindale-Ran`.
 #pragma once
 
@@ -12,7 +12,7 @@
 // Whether the request was executed by a backend server, as far as the router knows.
 enum class Ran : uint8_t {
     No, // no byte reached a server, or the server reported that it refused the request
-    Yes, // a server answered
+    Yes, // a server responded
     Unknown, // the request was sent and no response arrived
 };
 
@@ -50,7 +50,7 @@
 constexpr size_t errorKindCount = static_cast<size_t>(ErrorKind::Internal) + 1;
 
 // Response to one kind of error.
-struct ErrorAnswer {
+struct ErrorInfo {
     ErrorKind kind = ErrorKind::None;
     std::string_view name; // as in `Cumindale-Error` and in the metrics
     unsigned status = 500; // HTTP status
@@ -59,7 +59,7 @@
     bool retryable = false; // whether a retry may succeed; retrying a non-idempotent request also requires Ran::No
 };
 
-const ErrorAnswer& answerFor(ErrorKind);
+const ErrorInfo& errorInfo(ErrorKind);
 std::string_view toString(Ran);
 
 }
--- a/packages/base/Hash.cpp
+++ b/packages/base/Hash.cpp
@@ -5,7 +5,7 @@
 
 namespace cumindale {
 
-std::string pointText(uint64_t point)
+std::string formatPoint(uint64_t point)
 {
     char buffer[17];
     std::snprintf(buffer, sizeof buffer, "%016llx", static_cast<unsigned long long>(point));
--- a/packages/base/Hash.h
+++ b/packages/base/Hash.h
@@ -8,11 +8,11 @@
 
 namespace cumindale {
 
-std::string pointText(uint64_t point); // 16 hexadecimal digits
+std::string formatPoint(uint64_t point); // 16 hexadecimal digits
 // Hash of a list of texts. Their lengths are hashed too, so that lists with equal concatenations differ. Each `seed`
 // gives a different hash function.
 uint64_t hashOf(uint64_t seed, std::initializer_list<std::string_view> parts);
-uint64_t pointOfKey(
-    std::string_view key); // must be identical on all hosts and in all versions: routing tables depend on it
+// The result must be identical on all hosts and in all versions, because routing tables depend on it.
+uint64_t pointOfKey(std::string_view key);
 
 }
--- a/packages/base/Log.cpp
+++ b/packages/base/Log.cpp
@@ -27,9 +27,9 @@
         return name;
     }
 
-    constexpr size_t linesWaiting = 4'096; // lines queued for the writer thread; about 1 MB
+    constexpr size_t maxQueuedLines = 4'096; // lines queued for the writer thread; about 1 MB
 
-    boost::shared_ptr<boost::log::sinks::sink>& writer()
+    boost::shared_ptr<boost::log::sinks::sink>& logSink()
     {
         static boost::shared_ptr<boost::log::sinks::sink> sink;
         return sink;
@@ -56,31 +56,31 @@
 
 }
 
-void startLog(std::string_view host, LogLevel least)
+void startLog(std::string_view host, LogLevel minLevel)
 {
     namespace expressions = boost::log::expressions;
     namespace sinks = boost::log::sinks;
     // Writes the lines on a separate thread. If the reader of standard output stalls, the queue fills up and lines are
     // dropped, so that no request ever waits for the log.
     using Backend = sinks::text_ostream_backend;
-    using Sink = sinks::asynchronous_sink<Backend, sinks::bounded_fifo_queue<linesWaiting, sinks::drop_on_overflow>>;
+    using Sink = sinks::asynchronous_sink<Backend, sinks::bounded_fifo_queue<maxQueuedLines, sinks::drop_on_overflow>>;
     const auto backend = boost::make_shared<Backend>();
     backend->add_stream(boost::shared_ptr<std::ostream>(&std::cout, boost::null_deleter()));
     backend->auto_flush(true);
     const auto sink = boost::make_shared<Sink>(backend);
     sink->set_formatter(expressions::stream << expressions::smessage);
     boost::log::core::get()->add_sink(sink);
-    writer() = sink;
+    logSink() = sink;
     hostName() = host;
-    boost::log::core::get()->set_filter(expressions::attr<LogLevel>("Severity") >= least);
+    boost::log::core::get()->set_filter(expressions::attr<LogLevel>("Severity") >= minLevel);
 }
 
 void stopLog()
 {
-    if (!writer())
+    if (!logSink())
         return;
-    writer()->flush();
-    boost::log::core::get()->remove_sink(std::exchange(writer(), nullptr));
+    logSink()->flush();
+    boost::log::core::get()->remove_sink(std::exchange(logSink(), nullptr));
 }
 
 void logChange(LogLevel level, std::string_view event, boost::json::object fields)
--- a/packages/base/Log.h
+++ b/packages/base/Log.h
@@ -11,7 +11,7 @@
 
 enum class LogLevel { Info, Warning, Error };
 
-void startLog(std::string_view host, LogLevel least = LogLevel::Info); // call once, before the first line is logged
+void startLog(std::string_view host, LogLevel minLevel = LogLevel::Info); // call once, before the first line is logged
 void stopLog(); // writes the queued lines; later lines are not logged
 void logChange(LogLevel, std::string_view event, boost::json::object fields = {}); // thread-safe
 
--- a/packages/base/Metrics.cpp
+++ b/packages/base/Metrics.cpp
@@ -59,19 +59,19 @@
 Counter& Metrics::counter(const std::string& name)
 {
     std::lock_guard lock(m_mutex);
-    auto& slot = m_counters[name];
-    if (!slot)
-        slot = std::make_unique<Counter>();
-    return *slot;
+    auto& entry = m_counters[name];
+    if (!entry)
+        entry = std::make_unique<Counter>();
+    return *entry;
 }
 
 Distribution& Metrics::distribution(const std::string& name)
 {
     std::lock_guard lock(m_mutex);
-    auto& slot = m_distributions[name];
-    if (!slot)
-        slot = std::make_unique<Distribution>();
-    return *slot;
+    auto& entry = m_distributions[name];
+    if (!entry)
+        entry = std::make_unique<Distribution>();
+    return *entry;
 }
 
 std::string Metrics::text() const
--- a/packages/base/Metrics.h
+++ b/packages/base/Metrics.h
@@ -40,8 +40,8 @@
 
 class Metrics {
 public:
-    Counter& counter(
-        const std::string& name); // returns the same object for the same name; callers should keep the reference
+    // Returns the same object for the same name; callers should keep the reference.
+    Counter& counter(const std::string& name);
     Distribution& distribution(const std::string& name);
     std::string text() const; // `name value` lines, sorted
 
--- a/packages/base/Random.cpp
+++ b/packages/base/Random.cpp
@@ -13,7 +13,7 @@
     return value;
 }
 
-Millis randomBelow(Millis limit)
+Millis randomUpTo(Millis limit)
 {
     return Millis(static_cast<int64_t>(randomNumber() % static_cast<uint64_t>(limit.count() + 1)));
 }
--- a/packages/base/Random.h
+++ b/packages/base/Random.h
@@ -8,6 +8,6 @@
 namespace cumindale {
 
 uint64_t randomNumber(); // uniform over 64 bits, never 0; each thread has its own generator
-Millis randomBelow(Millis limit); // uniform from 0 to limit, both included
+Millis randomUpTo(Millis limit); // uniform from 0 to limit, both included
 
 }
--- a/packages/base/Spans.cpp
+++ b/packages/base/Spans.cpp
@@ -60,7 +60,7 @@
     m_next = (m_next + 1) % m_capacity;
 }
 
-std::vector<Span> SpanLog::ofTrace(std::string_view id) const
+std::vector<Span> SpanLog::spansOfTrace(std::string_view id) const
 {
     std::lock_guard lock(m_mutex);
     std::vector<Span> found;
--- a/packages/base/Spans.h
+++ b/packages/base/Spans.h
@@ -38,7 +38,7 @@
 public:
     explicit SpanLog(size_t capacity);
     void add(Span);
-    std::vector<Span> ofTrace(std::string_view traceId) const;
+    std::vector<Span> spansOfTrace(std::string_view traceId) const;
 
 private:
     size_t m_capacity;
--- a/packages/control/Election.cpp
+++ b/packages/control/Election.cpp
@@ -55,7 +55,7 @@
 asio::awaitable<bool> Election::campaign()
 {
     // The delay keeps hosts from campaigning all at the same time.
-    Millis delay = randomBelow(maxCampaignJitter);
+    Millis delay = randomUpTo(maxCampaignJitter);
     if (m_options.campaignDelay)
         delay = m_options.campaignDelay();
     co_await sleepFor(delay);
--- a/packages/control/PeerMesh.cpp
+++ b/packages/control/PeerMesh.cpp
@@ -42,7 +42,7 @@
     next.report.incarnation = incarnation;
     next.report.counts = m_routingLease.countsInMajorities();
     next.report.rosterVersion = m_routingLease.known().roster;
-    if (next.sameAs(m_own))
+    if (next.equalsIgnoringAge(m_own))
         return;
     m_own = std::move(next);
     ++m_sequence;
@@ -53,10 +53,10 @@
 {
     PeerState next = m_own;
     next.known = m_routingLease.known();
-    next.resourcesKnown = m_view.resources()->revision;
+    next.knownResourcesRevision = m_view.resources()->revision;
     next.report.counts = m_routingLease.countsInMajorities();
     next.report.rosterVersion = next.known.roster;
-    if (next.sameAs(m_own))
+    if (next.equalsIgnoringAge(m_own))
         return;
     m_own = std::move(next);
     ++m_sequence;
@@ -159,7 +159,7 @@
         if (table)
             m_events.onViewChange(m_view.applyTable(std::move(*table), 0));
     }
-    if (state.resourcesKnown > m_view.resources()->revision) {
+    if (state.knownResourcesRevision > m_view.resources()->revision) {
         const auto text = co_await link->resources(timeout);
         if (text)
             m_events.onViewChange(m_view.applyPeerResources(*text));
--- a/packages/control/StoreFollower.cpp
+++ b/packages/control/StoreFollower.cpp
@@ -15,7 +15,7 @@
     constexpr Millis minBackoff { 200 };
     constexpr Millis maxBackoff { 2000 };
 
-    Millis jittered(Millis base) { return base / 2 + randomBelow(base); }
+    Millis jittered(Millis base) { return base / 2 + randomUpTo(base); }
 
 }
 
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -373,7 +373,7 @@
 
 bool Gateway::mayRetry(Job& job, ErrorKind error)
 {
-    const ErrorAnswer& answer = answerFor(error);
+    const ErrorInfo& answer = errorInfo(error);
     const Instant now = m_clock.now();
     if (!answer.retryable || now >= job.deadline)
         return false;
@@ -656,7 +656,7 @@
             m_crashes.answered(fingerprint, endedAt);
     } else {
         recordLostResponse(job, held, error);
-        if (answerFor(error).ran != Ran::No) {
+        if (errorInfo(error).ran != Ran::No) {
             job.maybeRan = true;
             job.uncertainError = error;
         }
@@ -861,7 +861,7 @@
         return *job.failure;
     // The response must hold for all attempts. If the last one certainly did not run but an earlier one may have, 503
     // would wrongly promise that the request did not run.
-    const ErrorKind answered = job.maybeRan && answerFor(error).ran == Ran::No ? job.uncertainError : error;
+    const ErrorKind answered = job.maybeRan && errorInfo(error).ran == Ran::No ? job.uncertainError : error;
     logRequest(job, "request-refused", answered, job.tried.empty() ? std::string_view() : job.tried.back());
     return ErrorResponses(m_metrics, RetryAfterFormat::FractionalSeconds)
         .make(answered, retryAfter(job, error), job.maybeRan);
@@ -887,7 +887,7 @@
         if (job.readyAt == Instant::max())
             return withJitter(m_options.moveWait);
         const Millis remaining = job.readyAt - m_clock.now();
-        return std::max(minRetryAfter, remaining) + randomBelow(jitter);
+        return std::max(minRetryAfter, remaining) + randomUpTo(jitter);
     }
     default:
         return withJitter(m_options.moveWait);
@@ -921,8 +921,8 @@
     boost::json::object line;
     line["request"] = job.id;
     line["caller"] = job.presence.address;
-    line["error"] = answerFor(error).name;
-    line["ran"] = toString(answerFor(error).ran);
+    line["error"] = errorInfo(error).name;
+    line["ran"] = toString(errorInfo(error).ran);
     line["route"] = job.route ? job.route->name : std::string();
     line["service"] = job.service;
     line["key"] = job.keyed ? static_cast<int64_t>(job.key) : -1;
--- a/packages/gateway/GatewayControl.cpp
+++ b/packages/gateway/GatewayControl.cpp
@@ -235,7 +235,7 @@
     constexpr Millis maxJitter { 60 };
     const double weakness = std::clamp(1 - m_settings.gateway->strength / fullStrength, 0.0, 1.0);
     const Millis weaknessDelay(std::llround(weakness * static_cast<double>(maxWeaknessDelay.count())));
-    return weaknessDelay + (m_isStandby ? Millis(0) : nonStandbyDelay) + randomBelow(maxJitter);
+    return weaknessDelay + (m_isStandby ? Millis(0) : nonStandbyDelay) + randomUpTo(maxJitter);
 }
 
 void GatewayControl::onRoutingReport(GatewayReport report)
--- a/packages/gateway/PlatformFollower.cpp
+++ b/packages/gateway/PlatformFollower.cpp
@@ -107,7 +107,7 @@
                 m_changeSink(m_view.applyItem(reply.values.front()));
             co_return;
         }
-        co_await sleepFor(backoff / 2 + randomBelow(backoff));
+        co_await sleepFor(backoff / 2 + randomUpTo(backoff));
     }
 }
 
@@ -139,7 +139,7 @@
         else
             ready = co_await readAll(why);
         if (!ready) {
-            co_await sleepFor(backoff / 2 + randomBelow(backoff));
+            co_await sleepFor(backoff / 2 + randomUpTo(backoff));
             backoff = std::min(maxBackoff, backoff * 2);
             continue;
         }
@@ -148,7 +148,7 @@
         co_await watchLoop();
         // A watch that ends immediately must not turn this into a busy loop of reads.
         if (!m_followsCoordinator)
-            co_await sleepFor(randomBelow(2 * initialBackoff));
+            co_await sleepFor(randomUpTo(2 * initialBackoff));
     }
 }
 
@@ -187,7 +187,7 @@
         recordAnswer(false);
         wait = m_options.retryWatchDuration;
         backoff = std::min(maxBackoff, backoff * 2);
-        co_await sleepFor(randomBelow(backoff));
+        co_await sleepFor(randomUpTo(backoff));
     }
 }
 
--- a/packages/operators/AdminServer.cpp
+++ b/packages/operators/AdminServer.cpp
@@ -207,7 +207,7 @@
 ServedResponse AdminServer::trace(std::string_view id) const
 {
     json::array spans;
-    for (const auto& span : m_spans.ofTrace(id)) {
+    for (const auto& span : m_spans.spansOfTrace(id)) {
         json::object object;
         object["host"] = m_settings.host.name;
         object["hop"] = span.hop;
--- a/packages/operators/StatusJson.cpp
+++ b/packages/operators/StatusJson.cpp
@@ -137,7 +137,7 @@
     answer["service"] = service;
     answer["key"] = key;
     const uint64_t point = pointOfKey(key);
-    answer["point"] = pointText(point);
+    answer["point"] = formatPoint(point);
     const auto table = snapshot.tables.find(service);
     if (table == snapshot.tables.end()) {
         answer["why"] = "no table: the service is not declared, or has no servers yet";
@@ -147,7 +147,7 @@
     const Slice& slice = table->second->slices[index];
     answer["tableVersion"] = table->second->version;
     answer["slice"] = index;
-    answer["range"] = pointText(slice.begin) + "-" + pointText(table->second->lastPointOf(index));
+    answer["range"] = formatPoint(slice.begin) + "-" + formatPoint(table->second->lastPointOf(index));
     answer["state"] = stateName(slice.state);
     answer["fence"] = slice.fence;
     answer["owner"] = table->second->serverName(slice.owner);
--- a/packages/peers/Coordination.cpp
+++ b/packages/peers/Coordination.cpp
@@ -57,7 +57,7 @@
     try {
         m_codec->client.recv_report(advice);
     } catch (const TException&) {
-        m_codec->link.drop();
+        m_codec->link.close();
         co_return std::nullopt;
     }
     co_return advice;
@@ -73,9 +73,9 @@
     asio::any_io_executor executor, const std::string& address, Counter& bytesSent)
 {
     const auto colon = address.rfind(':');
-    constexpr unsigned long highestPort = 65'535;
+    constexpr unsigned long maxPort = 65'535;
     const auto port = colon == std::string::npos ? 0 : std::strtoul(address.c_str() + colon + 1, nullptr, 10);
-    if (!port || port > highestPort)
+    if (!port || port > maxPort)
         return nullptr;
     return std::make_unique<CoordinationLink>(
         std::move(executor), address.substr(0, colon), static_cast<uint16_t>(port), bytesSent);
--- a/packages/peers/Frame.h
+++ b/packages/peers/Frame.h
@@ -12,7 +12,7 @@
 
 namespace cumindale {
 
-constexpr uint32_t largestFrame = 16'000'000;
+constexpr uint32_t maxFrameBytes = 16'000'000;
 
 // readFrame() and writeFrame() return false when the connection fails; readFrame() also when the frame is too large.
 template <typename Stream> boost::asio::awaitable<bool> readFrame(Stream& stream, std::string& frame)
@@ -22,7 +22,7 @@
     const auto [headError, head]
         = co_await boost::asio::async_read(stream, boost::asio::buffer(&size, sizeof size), token);
     size = boost::endian::big_to_native(size);
-    if (headError || size > largestFrame)
+    if (headError || size > maxFrameBytes)
         co_return false;
     frame.resize(size);
     const auto [bodyError, body] = co_await boost::asio::async_read(stream, boost::asio::buffer(frame), token);
--- a/packages/peers/FrameLink.cpp
+++ b/packages/peers/FrameLink.cpp
@@ -20,7 +20,7 @@
 {
     // The connection is kept only after a complete response.
     auto stream = std::move(m_stream);
-    const std::string question = out.getBufferAsString();
+    const std::string request = out.getBufferAsString();
     out.resetBuffer();
     if (!stream) {
         stream = std::make_unique<boost::beast::tcp_stream>(m_executor);
@@ -28,14 +28,14 @@
             co_return false;
     }
     stream->expires_after(timeout);
-    m_bytesSent.add(question.size() + sizeof(uint32_t));
-    if (!co_await writeFrame(*stream, question))
+    m_bytesSent.add(request.size() + sizeof(uint32_t));
+    if (!co_await writeFrame(*stream, request))
         co_return false;
-    std::string answer;
-    if (!co_await readFrame(*stream, answer))
+    std::string response;
+    if (!co_await readFrame(*stream, response))
         co_return false;
     in.resetBuffer();
-    in.write(reinterpret_cast<const uint8_t*>(answer.data()), static_cast<uint32_t>(answer.size()));
+    in.write(reinterpret_cast<const uint8_t*>(response.data()), static_cast<uint32_t>(response.size()));
     m_stream = std::move(stream);
     co_return true;
 }
--- a/packages/peers/FrameLink.h
+++ b/packages/peers/FrameLink.h
@@ -22,7 +22,7 @@
     // response arrives within the timeout.
     boost::asio::awaitable<bool> exchange(
         apache::thrift::transport::TMemoryBuffer& out, apache::thrift::transport::TMemoryBuffer& in, Millis timeout);
-    void drop() { m_stream.reset(); } // closes the connection after a response that can't be parsed
+    void close() { m_stream.reset(); } // closes the connection after a response that can't be parsed
     const std::string& address() const { return m_address; }
     uint16_t port() const { return m_port; }
 
--- a/packages/peers/FrameServer.cpp
+++ b/packages/peers/FrameServer.cpp
@@ -30,11 +30,11 @@
     std::shared_ptr<TProcessor> processor;
     Counter& bytesSent;
 
-    bool answer(const std::string& question, std::string& reply)
+    bool handleRequest(const std::string& request, std::string& reply)
     {
         const auto in = std::make_shared<TMemoryBuffer>();
         const auto out = std::make_shared<TMemoryBuffer>();
-        in->write(reinterpret_cast<const uint8_t*>(question.data()), static_cast<uint32_t>(question.size()));
+        in->write(reinterpret_cast<const uint8_t*>(request.data()), static_cast<uint32_t>(request.size()));
         try {
             processor->process(
                 std::make_shared<TCompactProtocol>(in), std::make_shared<TCompactProtocol>(out), nullptr);
@@ -49,11 +49,11 @@
     static asio::awaitable<void> serve(std::shared_ptr<Shared> shared, tcp::socket socket)
     {
         boost::beast::tcp_stream stream(std::move(socket));
-        std::string question;
+        std::string request;
         std::string reply;
         for (;;) {
             stream.expires_after(idleTimeout);
-            if (!co_await readFrame(stream, question) || !shared->answer(question, reply))
+            if (!co_await readFrame(stream, request) || !shared->handleRequest(request, reply))
                 co_return;
             if (!co_await writeFrame(stream, reply))
                 co_return;
--- a/packages/peers/PeerLink.cpp
+++ b/packages/peers/PeerLink.cpp
@@ -26,7 +26,7 @@
 
 PeerLink::~PeerLink() = default;
 
-template <typename Receive> asio::awaitable<bool> PeerLink::ask(Millis timeout, Receive receive)
+template <typename Receive> asio::awaitable<bool> PeerLink::call(Millis timeout, Receive receive)
 {
     if (!co_await m_codec->link.exchange(*m_codec->out, *m_codec->in, timeout))
         co_return false;
@@ -34,51 +34,51 @@
         receive();
         co_return true;
     } catch (const TException&) {
-        m_codec->link.drop();
+        m_codec->link.close();
     }
     co_return false;
 }
 
-asio::awaitable<std::optional<std::string>> PeerLink::askText(
+asio::awaitable<std::optional<std::string>> PeerLink::callForText(
     Millis timeout, void (wire::PeersClient::*receive)(std::string&))
 {
-    std::string answer;
-    if (!co_await ask(timeout, [&] { (m_codec->client.*receive)(answer); }))
+    std::string response;
+    if (!co_await call(timeout, [&] { (m_codec->client.*receive)(response); }))
         co_return std::nullopt;
-    co_return answer;
+    co_return response;
 }
 
-asio::awaitable<std::optional<wire::Beat>> PeerLink::beat(wire::Beat question, Millis timeout)
+asio::awaitable<std::optional<wire::Beat>> PeerLink::beat(wire::Beat request, Millis timeout)
 {
-    m_codec->client.send_beat(question);
-    wire::Beat answer;
-    if (!co_await ask(timeout, [&] { m_codec->client.recv_beat(answer); }))
+    m_codec->client.send_beat(request);
+    wire::Beat response;
+    if (!co_await call(timeout, [&] { m_codec->client.recv_beat(response); }))
         co_return std::nullopt;
-    co_return answer;
+    co_return response;
 }
 
 asio::awaitable<bool> PeerLink::load(wire::LoadReport report, Millis timeout)
 {
     m_codec->client.send_load(report);
-    co_return co_await ask(timeout, [&] { m_codec->client.recv_load(); });
+    co_return co_await call(timeout, [&] { m_codec->client.recv_load(); });
 }
 
 asio::awaitable<std::optional<std::string>> PeerLink::table(std::string service, Millis timeout)
 {
     m_codec->client.send_table(service);
-    co_return co_await askText(timeout, &wire::PeersClient::recv_table);
+    co_return co_await callForText(timeout, &wire::PeersClient::recv_table);
 }
 
 asio::awaitable<std::optional<std::string>> PeerLink::roster(Millis timeout)
 {
     m_codec->client.send_roster();
-    co_return co_await askText(timeout, &wire::PeersClient::recv_roster);
+    co_return co_await callForText(timeout, &wire::PeersClient::recv_roster);
 }
 
 asio::awaitable<std::optional<std::string>> PeerLink::resources(Millis timeout)
 {
     m_codec->client.send_resources();
-    co_return co_await askText(timeout, &wire::PeersClient::recv_resources);
+    co_return co_await callForText(timeout, &wire::PeersClient::recv_resources);
 }
 
 }
--- a/packages/peers/PeerLink.h
+++ b/packages/peers/PeerLink.h
@@ -33,8 +33,8 @@
 private:
     struct Codec;
     template <typename Receive>
-    boost::asio::awaitable<bool> ask(Millis timeout, Receive); // sends the request and decodes the response
-    boost::asio::awaitable<std::optional<std::string>> askText(
+    boost::asio::awaitable<bool> call(Millis timeout, Receive); // sends the request and decodes the response
+    boost::asio::awaitable<std::optional<std::string>> callForText(
         Millis timeout, void (wire::PeersClient::*receive)(std::string&));
 
     std::unique_ptr<Codec> m_codec;
--- a/packages/peers/Wire.cpp
+++ b/packages/peers/Wire.cpp
@@ -26,9 +26,9 @@
 
 }
 
-bool PeerState::sameAs(const PeerState& other) const
+bool PeerState::equalsIgnoringAge(const PeerState& other) const
 {
-    return known == other.known && resourcesKnown == other.resourcesKnown
+    return known == other.known && knownResourcesRevision == other.knownResourcesRevision
         && report.incarnation == other.report.incarnation && report.counts == other.report.counts
         && report.adoptedTables == other.report.adoptedTables && report.rosterVersion == other.report.rosterVersion
         && report.resourcesRevision == other.report.resourcesRevision && report.busy == other.report.busy
@@ -41,7 +41,7 @@
     out.incarnation = static_cast<int64_t>(state.report.incarnation);
     out.counts = state.report.counts;
     out.rosterVersion = static_cast<int64_t>(state.known.roster);
-    out.resourcesRevision = state.resourcesKnown;
+    out.resourcesRevision = state.knownResourcesRevision;
     out.resourcesInForce = state.report.resourcesRevision;
     out.known = versionsToWire(state.known.tables);
     out.adopted = versionsToWire(state.report.adoptedTables);
@@ -66,7 +66,7 @@
     PeerState state;
     state.known.roster = static_cast<uint64_t>(in.rosterVersion);
     state.known.tables = versionsFromWire(in.known);
-    state.resourcesKnown = in.resourcesRevision;
+    state.knownResourcesRevision = in.resourcesRevision;
     state.report.incarnation = static_cast<uint64_t>(in.incarnation);
     state.report.age = Millis(in.ageMillis);
     state.report.counts = in.counts;
--- a/packages/peers/Wire.h
+++ b/packages/peers/Wire.h
@@ -10,10 +10,10 @@
 // State of a host as it reports it in a heartbeat.
 struct PeerState {
     KnownVersions known;
-    int64_t resourcesKnown = 0;
+    int64_t knownResourcesRevision = 0;
     HostReport report; // its age is relative to the creation of this state
 
-    bool sameAs(const PeerState&) const; // ignores the age of the report
+    bool equalsIgnoringAge(const PeerState&) const; // ignores the age of the report
 };
 
 wire::HostState toWire(const PeerState&);
--- a/packages/resources/QuarantineCodec.cpp
+++ b/packages/resources/QuarantineCodec.cpp
@@ -13,7 +13,7 @@
 
 std::string quarantineKey() { return std::string(storePrefix) + "quarantine"; }
 
-std::string formatFingerprint(Fingerprint request) { return pointText(request); }
+std::string formatFingerprint(Fingerprint request) { return formatPoint(request); }
 
 std::optional<Fingerprint> parseFingerprint(std::string_view text)
 {
--- a/packages/routing/ErrorResponses.cpp
+++ b/packages/routing/ErrorResponses.cpp
@@ -22,11 +22,11 @@
 
 }
 
-Millis withJitter(Millis time) { return time + randomBelow(time); }
+Millis withJitter(Millis time) { return time + randomUpTo(time); }
 
 CallerResponse ErrorResponses::make(ErrorKind kind, Millis retryAfter, bool maybeRan) const
 {
-    const ErrorAnswer& answer = answerFor(kind);
+    const ErrorInfo& answer = errorInfo(kind);
     // `Cumindale-Ran` covers all attempts: an earlier one may have run although the last one certainly did not.
     const std::string ran(toString(maybeRan && answer.ran == Ran::No ? Ran::Unknown : answer.ran));
     const std::string name(answer.name);
--- a/packages/routing/Router.cpp
+++ b/packages/routing/Router.cpp
@@ -279,7 +279,7 @@
 
 bool Router::mayRetry(Job& job, ErrorKind error)
 {
-    const ErrorAnswer& answer = answerFor(error);
+    const ErrorInfo& answer = errorInfo(error);
     if (!answer.retryable)
         return false;
     const bool certainlyNotRun = answer.ran == Ran::No && !job.maybeRan;
@@ -370,12 +370,12 @@
     // Moves wait for the work limit of the table, so a dispatch must not take longer.
     const Millis timeout = std::min<Millis>(job.deadline - now, destination.workLimit);
     const std::string requestId
-        = pointText(job.trace.traceLow) + "-" + pointText(job.trace.span) + "-" + std::to_string(job.attempts);
+        = formatPoint(job.trace.traceLow) + "-" + formatPoint(job.trace.span) + "-" + std::to_string(job.attempts);
     const TraceContext span { job.trace.traceHigh, job.trace.traceLow, randomNumber() };
     CallerRequest& request = job.request;
     request.set(requestIdHeader, requestId);
     request.set(fenceHeader, std::to_string(destination.fence));
-    request.set(rangeHeader, pointText(destination.firstPoint) + "-" + pointText(destination.lastPoint));
+    request.set(rangeHeader, formatPoint(destination.firstPoint) + "-" + formatPoint(destination.lastPoint));
     // Both the absolute deadline and the remaining time are sent: a request that was held in a socket buffer by a
     // network partition or a frozen server must not restart its time when it is finally read.
     request.set(deadlineHeader, std::to_string(time.unixMillis + timeout.count()));
@@ -410,7 +410,7 @@
     const std::string_view echoedId = result.response[requestIdHeader];
     if (result.error == ErrorKind::None && !echoedId.empty() && echoedId != requestId)
         result.error = ErrorKind::BadAnswer;
-    m_spans.add({ span, job.trace.span, "dispatch", server.name + " " + std::string(answerFor(result.error).name),
+    m_spans.add({ span, job.trace.span, "dispatch", server.name + " " + std::string(errorInfo(result.error).name),
         sentAt, tookMicros });
     co_return result;
 }
