--- a/packages/peers/Frame.h
+++ b/packages/peers/Frame.h
@@ -1,4 +1,4 @@
-// Thrift's framed transport over Asio: a 4-byte big-endian length, then the message.
+// Thrift's framed transport over Asio: a 4-byte big-endian length followed by the message.
 #pragma once
 
 #include <boost/asio/as_tuple.hpp>
@@ -12,9 +12,9 @@
 
 namespace cumindale {
 
-constexpr uint32_t largestFrame = 16'000'000;
+constexpr uint32_t maxFrameBytes = 16'000'000;
 
-// Both return false when the connection failed or the frame is too large.
+// readFrame() and writeFrame() return false when the connection fails; readFrame() also when the frame is too large.
 template <typename Stream> boost::asio::awaitable<bool> readFrame(Stream& stream, std::string& frame)
 {
     constexpr auto token = boost::asio::as_tuple(boost::asio::use_awaitable);
@@ -22,7 +22,7 @@
     const auto [headError, head]
         = co_await boost::asio::async_read(stream, boost::asio::buffer(&size, sizeof size), token);
     size = boost::endian::big_to_native(size);
-    if (headError || size > largestFrame)
+    if (headError || size > maxFrameBytes)
         co_return false;
     frame.resize(size);
     const auto [bodyError, body] = co_await boost::asio::async_read(stream, boost::asio::buffer(frame), token);
