--- a/bench/check_bounds.cpp
+++ b/bench/check_bounds.cpp
@@ -1,7 +1,7 @@
-// Checks a run of bench-slopes against bounds.json. Bounds are ratios of two figures of the same run, or counts;
-// never absolute times, so that every machine gives the same verdict.
+// Checks the results of bench-slopes against bounds.json. A bound limits a count, or the ratio of two figures of the
+// same run, and never an absolute time, so that the outcome does not depend on the speed of the machine.
 //
-//     bench-check-bounds RESULT.json BOUNDS.json      exit status 1 if a bound is broken
+//     bench-check-bounds RESULT.json BOUNDS.json      exit status 1 if a bound is exceeded
 #include <algorithm>
 #include <boost/json.hpp>
 #include <fstream>
@@ -25,7 +25,8 @@
     return json::parse(text.str(), {}, options);
 }
 
-// Figure of one benchmark: its time, or a counter's value as NAME:COUNTER. Of several measurements the least.
+// Returns the CPU time of the benchmark NAME, or the value of a counter for NAME:COUNTER. If the benchmark was
+// repeated, returns the minimum.
 double figure(const json::array& results, const std::string& name)
 {
     const auto colon = name.find(':');
--- a/bench/http_load.cpp
+++ b/bench/http_load.cpp
@@ -1,5 +1,6 @@
-// Load over keep-alive connections: closed loop (each connection asks as soon as it is answered), or at a rate.
-// Sends one canned lookup with changing keys and measures the time to the whole answer. Last line: JSON.
+// HTTP load generator over keep-alive connections: closed loop (each connection sends its next request as soon as it
+// has the response), or at a fixed rate. Sends the same lookup with varying keys and measures the time until the
+// response is complete. The last line of output is JSON.
 #include "base/Time.h"
 
 #include <absl/flags/flag.h>
@@ -10,9 +11,10 @@
 #include <iostream>
 #include <thread>
 
-ABSL_FLAG(std::vector<std::string>, targets, { "127.0.0.1:7111" }, "endpoints, ADDRESS:PORT, dealt out to connections");
+ABSL_FLAG(std::vector<std::string>, targets, { "127.0.0.1:7111" },
+    "endpoints, ADDRESS:PORT, assigned to connections in turn");
 ABSL_FLAG(unsigned, connections, 32, "keep-alive connections over all threads");
-ABSL_FLAG(unsigned, threads, 2, "threads of the load");
+ABSL_FLAG(unsigned, threads, 2, "threads that generate load");
 ABSL_FLAG(double, seconds, 5, "how long");
 ABSL_FLAG(double, rate, 0, "requests a second over all connections; 0: closed loop");
 ABSL_FLAG(unsigned, keys, 1000, "distinct keys");
@@ -31,7 +33,7 @@
     size_t failed = 0;
 };
 
-// Reads one answer; false if the connection failed. `status` is its first line's number.
+// Reads one response; returns false if the connection failed. Sets `status` to the HTTP status code.
 asio::awaitable<bool> readAnswer(tcp::socket& socket, std::string& buffer, int& status)
 {
     const auto [error, head] = co_await asio::async_read_until(socket, asio::dynamic_buffer(buffer), "\r\n\r\n", token);
--- a/bench/placement_trace.cpp
+++ b/bench/placement_trace.cpp
@@ -1,10 +1,10 @@
 // Steps the placement policy over generated load traces (no cluster is simulated: moves take effect at the next
-// step) and compares it with the naive version, rendezvous hashing by slots without load.
+// step) and compares it with a baseline: rendezvous hashing weighted by slots, which ignores load.
 //
-// A line of JSON for each trace and policy: imbalance (time-weighted mean and 99th percentile of max/mean of load
-// over slots), the bound that the hottest single key sets, churn (share of load that changed owner an hour, and
-// against the least possible on a loss) and unavailable key-seconds a million requests. With --svg FOLDER it also
-// draws the imbalance over time.
+// Prints a line of JSON for each trace and policy: imbalance (time-weighted mean and 99th percentile of max/mean of
+// load over slots), the lower bound on imbalance set by the hottest key, churn (share of load that changed owner per
+// hour, and its ratio to the minimum after a server loss) and unavailable key-seconds per million requests.
+// --svg FOLDER also plots the imbalance over time.
 #include "base/Hash.h"
 #include "control/LoadAggregator.h"
 #include "decisions/Placement.h"
@@ -30,20 +30,20 @@
 using namespace cumindale;
 namespace json = boost::json;
 
-constexpr int stepSeconds = 5; // as AssignerOptions::rebalanceInterval
-constexpr double workMillis = 4; // of a request
-constexpr double gracefulSeconds = 0.05; // that a key waits in a move; measured, bench/prove.sh leaves
-constexpr double lossSeconds = 1.3; // after a freeze; measured, bench/prove.sh freeze
-constexpr size_t warmUpSteps = 24; // before anything is counted
+constexpr int stepSeconds = 5; // same as AssignerOptions::rebalanceInterval
+constexpr double workMillis = 4; // per request
+constexpr double gracefulSeconds = 0.05; // wait of a key during a planned move; see bench/prove.sh leaves
+constexpr double lossSeconds = 1.3; // wait of a key after its server froze; see bench/prove.sh freeze
+constexpr size_t warmUpSteps = 24; // steps left out of the results
 
 struct Trace {
     std::string name;
     size_t servers = 20;
     unsigned slots = 4;
     size_t keys = 20'000;
-    double perSecond = 2'000; // requests
+    double perSecond = 2'000; // request rate
     size_t steps = 360; // half an hour
-    size_t hotTurnover = 0; // keys that swap places with others each minute
+    size_t hotTurnover = 0; // keys whose popularity rank is swapped with another key's each minute
     bool rollingRestart = false;
     bool loseCentre = false;
     bool addServer = false;
@@ -64,7 +64,7 @@
     };
 }
 
-// Zipf 0.99 over the keys; which key has which rank changes when hot keys turn over.
+// Zipf distribution over the keys with exponent 0.99. Hot-key turnover swaps the ranks of keys.
 class Keys {
 public:
     explicit Keys(const Trace& trace)
@@ -116,12 +116,12 @@
 public:
     virtual ~Policy() = default;
     virtual void step(const std::vector<PlacementServer>&, const Keys&)
-        = 0; // after the keys' counts of a step are known
-    virtual std::string ownerOf(uint64_t point) const = 0; // empty: nobody
+        = 0; // called once the request counts of the step are known
+    virtual std::string ownerOf(uint64_t point) const = 0; // empty: no owner
     virtual size_t slices() const { return 0; }
 };
 
-// Highest random weight, by slots: -slots / ln(hash).
+// Weighted rendezvous hashing (highest random weight): -slots / ln(hash).
 class Naive final : public Policy {
 public:
     void step(const std::vector<PlacementServer>& servers, const Keys&) override
@@ -168,7 +168,7 @@
     }
 
     std::vector<std::pair<PlacementServer, uint64_t>> m_servers;
-    mutable std::unordered_map<uint64_t, std::string> m_owners; // as long as the servers stay the same
+    mutable std::unordered_map<uint64_t, std::string> m_owners; // cache, valid while the set of servers is unchanged
 };
 
 class Ours final : public Policy {
@@ -223,11 +223,11 @@
 };
 
 struct Measure {
-    std::vector<double> imbalance; // by step
-    double moved = 0; // requests' worth of load that changed owner
-    double movedByNeed = 0; // of it, from servers that were not usable any more
+    std::vector<double> imbalance; // one value per step
+    double moved = 0; // load that changed owner, in requests
+    double movedByNeed = 0; // part of `moved` that left servers which became unusable
     double total = 0;
-    double unavailable = 0; // request-seconds that waited
+    double unavailable = 0; // total waiting time, in request-seconds
 };
 
 std::vector<PlacementServer> serversOf(const Trace& trace)
@@ -238,10 +238,10 @@
     return servers;
 }
 
-// Faults of the trace at one step; true if a loss, for which keys wait longer.
+// Applies the faults of the trace at one step. Returns true if servers were lost, in which case keys wait longer.
 bool changeServers(const Trace& trace, size_t step, std::vector<PlacementServer>& servers)
 {
-    if (trace.rollingRestart) { // each is away for half a minute, one after another
+    if (trace.rollingRestart) { // servers are down for 30 seconds each, one after another
         for (size_t i = 0; i < servers.size(); ++i)
             servers[i].usable = step < warmUpSteps || (step - warmUpSteps) / 6 != i;
     }
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,5 +1,5 @@
-// Slopes: what one unit of state, message or decision costs. docs/CAPACITY.md multiplies them; bounds.json
-// bounds their ratios within one run.
+// Microbenchmarks of the cost per unit of state, per message and per decision. docs/CAPACITY.md extrapolates from
+// these costs; bounds.json limits their ratios within one run.
 #include "base/Hash.h"
 #include "control/ClusterView.h"
 #include "control/LoadAggregator.h"
@@ -52,7 +52,7 @@
     return table;
 }
 
-// Loads drawn so that a few slices are much heavier, as with Zipf keys.
+// Random loads with a few slices much heavier than the rest, as with Zipf-distributed keys.
 std::vector<double> loadsOf(size_t slices)
 {
     std::vector<double> loads;
@@ -72,7 +72,7 @@
 }
 BENCHMARK(lookupByIndex)->Arg(1'000)->Arg(40'000);
 
-void lookupBySearch(benchmark::State& state) // the naive version
+void lookupBySearch(benchmark::State& state) // baseline: binary search
 {
     const SliceTable table = tableOf(static_cast<size_t>(state.range(0)));
     std::mt19937_64 random(3);
@@ -110,11 +110,12 @@
         const SliceIndex index(*table);
         benchmark::DoNotOptimize(index.indexOf(1));
     }
-    state.counters["memoryPerSlice"] = sizeof(Slice) + 4.0 * sizeof(uint32_t); // index: up to four buckets a slice
+    state.counters["memoryPerSlice"]
+        = sizeof(Slice) + 4.0 * sizeof(uint32_t); // the index has up to four buckets per slice
 }
 BENCHMARK(decodeAndIndexTable)->Arg(1'000)->Arg(40'000);
 
-void planEven(benchmark::State& state) // by servers, 20 slices each
+void planEven(benchmark::State& state) // argument: servers, with 20 slices each
 {
     const auto servers = static_cast<size_t>(state.range(0));
     PlacementInput input = inputOf(servers);
@@ -150,7 +151,7 @@
     return roster;
 }
 
-void freshnessPerAnswer(benchmark::State& state) // by roster size: one answer, then the lease anew
+void freshnessPerAnswer(benchmark::State& state) // argument: roster size; one answer, then a lease renewal
 {
     const auto hosts = static_cast<size_t>(state.range(0));
     const Roster roster = rosterOf(hosts);
@@ -181,8 +182,9 @@
     return state;
 }
 
-// A beat from one side to the other: written, read and turned into ours. Sights travel only with a state.
-void beatCodec(benchmark::State& state) // 0: unchanged; n: a state with n servers' sights
+// Encodes a heartbeat, decodes it and converts it to the internal types. Reachability of servers is sent only together
+// with a state.
+void beatCodec(benchmark::State& state) // argument: 0 for no change, n for a state with the reachability of n servers
 {
     wire::Beat beat;
     beat.sender = "host-1000";
@@ -205,7 +207,7 @@
 }
 BENCHMARK(beatCodec)->Arg(0)->Arg(20)->Arg(200);
 
-void gateObserve(benchmark::State& state) // by hosts: one stopping slice looks at all reports
+void gateObserve(benchmark::State& state) // argument: hosts; one stopping slice checks the reports of all hosts
 {
     const auto hosts = static_cast<size_t>(state.range(0));
     const Roster roster = rosterOf(hosts);
@@ -247,7 +249,7 @@
     return encodeStoredResource({ document, "0123456789abcdef" });
 }
 
-void configurationChange(benchmark::State& state) // by declared servers: one change reaches a host
+void configurationChange(benchmark::State& state) // argument: declared servers; a host receives one change
 {
     const auto servers = static_cast<size_t>(state.range(0));
     ClusterView view;
@@ -272,7 +274,7 @@
 }
 BENCHMARK(configurationChange)->Arg(20)->Arg(2'000)->Unit(benchmark::kMicrosecond);
 
-void loadSum(benchmark::State& state) // by hosts reporting 2,000 busy slices each: the assigner's sum
+void loadSum(benchmark::State& state) // argument: hosts, 2,000 busy slices each; the assigner's sum
 {
     const SliceTable table = tableOf(2'000);
     LoadAggregator book;
--- a/standins/backend.cpp
+++ b/standins/backend.cpp
@@ -1,12 +1,13 @@
-// Stand-in for a backend server: some slots, work that takes time, deadlines and fences honoured, and a record
-// of what ran, for which key, between when and when, which judges the system.
+// Fake backend server for tests: has a number of slots, simulates work, honours deadlines and fencing tokens, and
+// records which request ran for which key from when until when. The tests check the system by these records.
 //
-// A request carries X-Nonce (its identity) and X-Work-Ms. The record has a line when work begins and one when
-// it ends: "B NONCE KEY METHOD FENCE MICROS" and "E NONCE MICROS", or "A NONCE MICROS" when it was stopped in the
-// work and gave it up past its deadline; on the machine's monotonic clock.
+// A request carries X-Nonce (its identity) and X-Work-Ms. The record has one line when work begins,
+// "B NONCE KEY METHOD FENCE MICROS", and one when work ends: "E NONCE MICROS", or "A NONCE MICROS" if the process was
+// suspended during the work and abandoned the work because its deadline had passed. MICROS is the machine's monotonic
+// clock.
 //
 //     POST /standin/faults {"shed": 0..1, "delayMs": n, "answer": "whole|cut|wrong", "muteHost": NAME,
-//                            "silenceOpen": bool: open connections are never answered again, new ones are}
+//                            "silenceOpen": bool: connections open now get no more responses, new ones do}
 #include "base/Time.h"
 #include "web/HttpServer.h"
 #include "web/Signal.h"
@@ -23,11 +24,11 @@
 
 ABSL_FLAG(std::string, address, "127.0.0.1", "IP number to listen on");
 ABSL_FLAG(uint16_t, port, 7200, "port");
-ABSL_FLAG(std::string, name, "server", "name, given in answers");
-ABSL_FLAG(unsigned, slots, 4, "requests worked on at once");
+ABSL_FLAG(std::string, name, "server", "server name, included in responses");
+ABSL_FLAG(unsigned, slots, 4, "requests processed concurrently");
 ABSL_FLAG(unsigned, queue, 1000, "requests waiting for a slot; more are shed");
-ABSL_FLAG(bool, checks_grants, false, "refuse lower fences than seen for a key, and lapsed grants");
-ABSL_FLAG(std::string, record, "", "file for the record of what ran");
+ABSL_FLAG(bool, checks_grants, false, "refuse expired grants, and fences lower than the highest seen for a key");
+ABSL_FLAG(std::string, record, "", "file to record executed requests in");
 
 namespace {
 
@@ -55,10 +56,10 @@
         const std::string path = parseTarget(request.target()).path;
         const uint16_t connection = stream.socket().remote_endpoint().port();
         while (m_silenced.count(connection))
-            co_await sleepFor(Millis(50)); // as if something on the way had lost track of it
+            co_await sleepFor(Millis(50)); // simulates a middlebox that dropped the connection's state
         m_open.insert(connection);
         while (!m_muteHost.empty() && request["Cumindale-Host"] == m_muteHost)
-            co_await sleepFor(Millis(50)); // as if the path to this host were cut
+            co_await sleepFor(Millis(50)); // simulates a network partition from this host
         if (path == "/health")
             co_return makeResponse(200, "{}");
         if (path == "/standin/faults") {
@@ -82,7 +83,7 @@
         const auto work = std::strtoll(std::string(request["X-Work-Ms"]).c_str(), nullptr, 10);
         if (work || m_delay.count())
             co_await sleepFor(Millis(work) + m_delay);
-        // Stopped in its work past the deadline: it honours that when it wakes, and leaves the work undone.
+        // The process was suspended during the work until after the deadline: abandon the work on resumption.
         const bool aborted = pastDeadline(request);
         end(nonce, aborted);
         --m_busy;
@@ -146,7 +147,7 @@
     std::optional<ServedResponse> finish(const ServedRequest& request, const std::string& nonce, const std::string& key)
     {
         if (m_answer == "cut")
-            return std::nullopt; // ran, and the connection ends without an answer
+            return std::nullopt; // the request ran; close the connection without a response
         const std::string body = json::serialize(
             json::object { { "server", m_name }, { "nonce", m_answer == "wrong" ? "someone-else" : nonce },
                 { "key", key }, { "received", request.body().size() } });
@@ -172,7 +173,7 @@
         if (m_record < 0)
             return;
         if (::write(m_record, line.data(), line.size()) != static_cast<ssize_t>(line.size()))
-            std::abort(); // without its record nothing can be judged
+            std::abort(); // results can't be checked without the record
     }
 
     SystemClock m_clock;
@@ -188,7 +189,7 @@
     double m_shedDebt = 0;
     Millis m_delay { 0 };
     std::string m_muteHost;
-    std::set<uint16_t> m_open; // connections seen, by the other end's port
+    std::set<uint16_t> m_open; // connections seen, by remote port
     std::set<uint16_t> m_silenced;
     std::string m_answer = "whole";
     std::map<std::string, int64_t> m_fences;
--- a/standins/callers.cpp
+++ b/standins/callers.cpp
@@ -1,8 +1,8 @@
-// Stand-in for callers: an open-loop load of lookups, claims, uploads and archive reads over some keys, sent to
-// the hosts in turn. Checks each answer against its own request, then judges what ran by the servers' records.
+// Simulated callers: an open-loop load of lookups, claims, uploads and archive reads over a set of keys, sent to the
+// hosts in turn. Checks each response against its request, then checks which requests ran by the servers' records.
 //
-// The last line is JSON. Exit status 1 if an answer was wrong, a claim ran twice, a caller was misled about
-// what ran, or two servers worked on one key at once.
+// The last line of output is JSON. The exit status is 1 if a response was wrong, a claim ran twice, a response was
+// wrong about whether its request ran, or two servers worked on one key at the same time.
 #include "base/Time.h"
 #include "web/HttpClient.h"
 #include "web/Signal.h"
@@ -28,21 +28,21 @@
 #include <sstream>
 
 ABSL_FLAG(std::vector<std::string>, hosts, { "127.0.0.1:7101" }, "callers' endpoints");
-ABSL_FLAG(std::vector<std::string>, killed, {}, "endpoints that are killed meanwhile: their lost requests are excused");
+ABSL_FLAG(std::vector<std::string>, killed, {}, "endpoints killed during the run: requests lost there are not counted");
 ABSL_FLAG(unsigned, requests, 5000, "how many");
 ABSL_FLAG(double, rate, 500, "a second");
 ABSL_FLAG(unsigned, keys, 500, "distinct keys");
-ABSL_FLAG(double, skew, 2, "1: all keys alike; more: some are much hotter");
+ABSL_FLAG(double, skew, 2, "1: uniform keys; more: some keys are much hotter");
 ABSL_FLAG(std::string, path, "/tracing/", "the service's prefix");
-ABSL_FLAG(std::string, records, "", "folder with the servers' records; empty: no judgement of what ran");
-ABSL_FLAG(unsigned, seed, 1, "of the load");
+ABSL_FLAG(std::string, records, "", "folder with the servers' records; empty: no check of what ran");
+ABSL_FLAG(unsigned, seed, 1, "seed of the random load");
 ABSL_FLAG(unsigned, upload_bytes, 50000, "size of an upload");
-ABSL_FLAG(unsigned, slow_uploads, 0, "uploads beside the load, all begun at once, as over a slow village connection");
+ABSL_FLAG(unsigned, slow_uploads, 0, "slow uploads started together beside the load, as over a slow line");
 ABSL_FLAG(unsigned, slow_bytes, 30000, "size of a slow upload");
 ABSL_FLAG(unsigned, slow_rate, 2000, "bytes a second of a slow upload");
 ABSL_FLAG(bool, lookups_only, false, "no claims, uploads or archive reads, and no work at the servers");
-ABSL_FLAG(double, work_scale, 1, "times the usual work at the servers");
-ABSL_FLAG(int64_t, timeout_ms, 5000, "the caller's patience");
+ABSL_FLAG(double, work_scale, 1, "factor on the simulated work at the servers");
+ABSL_FLAG(int64_t, timeout_ms, 5000, "timeout of a caller");
 
 namespace {
 
@@ -61,8 +61,8 @@
     std::string key;
     bool idempotent = true;
     std::string kind = "lookup";
-    unsigned status = 0; // 0: no answer
-    std::string ran; // as the answer said
+    unsigned status = 0; // 0: no response
+    std::string ran; // whether the request ran, according to the response
     std::string error;
     bool wrong = false;
     int64_t startMicros = 0;
@@ -75,12 +75,12 @@
     Instant avoidUntil {};
 };
 
-// What a server's record says of one run.
+// One execution of a request, from a server's record.
 struct Run {
     std::string server;
     std::string key;
     int64_t begin = 0;
-    int64_t end = 0; // 0: never ended
+    int64_t end = 0; // 0: did not end
 };
 
 class Load {
@@ -97,7 +97,7 @@
         }
     }
 
-    // As a platform's balancer does: asks each host for its health, and leaves out those that say no.
+    // Checks the health of each host and skips unhealthy hosts, as the platform's load balancer does.
     asio::awaitable<void> followHealth(HostEnd& host)
     {
         HttpCall call;
@@ -205,7 +205,7 @@
         --m_open;
     }
 
-    // A piece each 100 ms; nothing if the connection was cut.
+    // Sends a chunk every 100 ms. Returns nothing if the connection was lost.
     asio::awaitable<std::optional<http::response<http::string_body>>> uploadSlowly(
         std::string endpoint, const Sent& sent)
     {
@@ -226,7 +226,7 @@
             const std::string bytes(std::min(piece, size - done), 'u');
             const auto [error, written] = co_await asio::async_write(socket, asio::buffer(bytes), token);
             if (error)
-                break; // perhaps refused: the answer tells
+                break; // the request may have been refused: read the response
             co_await sleepFor(Millis(100));
         }
         boost::beast::flat_buffer buffer;
@@ -305,7 +305,7 @@
     return runs;
 }
 
-// Pairs of runs for one key that overlap at different servers.
+// Counts pairs of runs of one key that overlap in time on different servers.
 size_t overlaps(const std::map<std::string, std::vector<Run>>& runs)
 {
     std::map<std::string, std::vector<Run>> byKey;
@@ -344,8 +344,8 @@
     std::map<std::string, size_t> errors;
     std::vector<int64_t> times;
     std::map<std::string, std::vector<int64_t>> byKind;
-    std::map<std::string, int64_t> failedSince; // by key: when its requests began to fail
-    int64_t longestGap = 0; // from a request to the next answer for its key
+    std::map<std::string, int64_t> failedSince; // time of the first failure since the last success, by key
+    int64_t longestGap = 0; // from a request to the next response for the same key
     for (const auto& sent : all) {
         answered += sent.status != 0;
         wrong += sent.wrong;
--- a/standins/proxy.cpp
+++ b/standins/proxy.cpp
@@ -1,11 +1,11 @@
-// Stand-in for the network between two processes on loopback: passes connections on, and harms them from outside. Not
-// shipped.
+// Fault-injecting TCP proxy between two processes on loopback. Used in tests only, not shipped.
 //
 //     POST /faults {"delayMs": n, "holdTo": bool, "holdFrom": bool, "silenceOpen": bool, "reset": bool}
 //
-// holdTo, holdFrom: bytes towards the target, or back from it, wait until the fault ends, as behind a cut path.
-// silenceOpen: connections that are open now never carry a byte again, new ones do. reset: all open connections end at
-// once. What is left out ends; {} ends all but the silence of connections that are silent.
+// holdTo, holdFrom: bytes towards the target, or back from it, are held until the fault ends, as in a network
+// partition. silenceOpen: connections that are open now never carry a byte again, new ones do. reset: closes all open
+// connections at once. A fault left out of the request ends, so {} ends all faults; connections already silenced stay
+// silent.
 #include "base/Time.h"
 #include "web/HttpServer.h"
 #include "web/Signal.h"
@@ -26,7 +26,7 @@
 
 ABSL_FLAG(std::string, address, "127.0.0.1", "IP number to listen on, and of the target");
 ABSL_FLAG(uint16_t, port, 9000, "port to listen on");
-ABSL_FLAG(uint16_t, target, 8000, "port to pass connections on to");
+ABSL_FLAG(uint16_t, target, 8000, "port to forward connections to");
 ABSL_FLAG(uint16_t, control_port, 9001, "port for faults");
 
 namespace {
@@ -37,7 +37,7 @@
 using asio::ip::tcp;
 
 constexpr auto token = asio::as_tuple(asio::use_awaitable);
-constexpr Millis lookAgain { 20 }; // while bytes are held
+constexpr Millis heldPollInterval { 20 }; // polling interval while bytes are held
 
 struct Link {
     tcp::socket near;
@@ -46,7 +46,7 @@
 
     void reset()
     {
-        boost::system::error_code ignored; // one that has ended already
+        boost::system::error_code ignored; // the connection may be closed already
         near.set_option(asio::socket_base::linger(true, 0), ignored);
         far.set_option(asio::socket_base::linger(true, 0), ignored);
         near.close(ignored);
@@ -115,14 +115,14 @@
             if (m_delay.count())
                 co_await sleepFor(m_delay);
             while ((held || link->silent) && from.is_open())
-                co_await sleepFor(lookAgain);
+                co_await sleepFor(heldPollInterval);
             if (readError)
                 break;
             const auto [writeError, written] = co_await asio::async_write(to, asio::buffer(bytes.data(), got), token);
             if (writeError)
                 break;
         }
-        boost::system::error_code ignored; // the other side may have ended first
+        boost::system::error_code ignored; // the peer may have closed first
         to.shutdown(tcp::socket::shutdown_send, ignored);
     }
 
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -1,10 +1,10 @@
-// Stand-in for the platform: its key-value store (the subset of etcd v3's HTTP/JSON mapping that we use) and
-// its host list. Counts each call; a waiting watch counts as one.
+// Fake platform for tests: the key-value store (the subset of etcd v3's HTTP/JSON mapping that the router uses) and
+// the host list. Counts calls; a pending watch counts as one call.
 //
 //     GET/PUT /hosts            the host list
 //     GET     /standin/calls    {"reads", "writes", "watches", "other"}
 //     POST    /standin/faults   {"down": bool, "delayMs": n, "loseAnswers": n, "muteWatches": bool}
-//     POST    /standin/rollback {"revision": n}  goes back in time
+//     POST    /standin/rollback {"revision": n}  restores the state of an earlier revision
 #include "store/Base64.h"
 #include "store/EtcdStore.h"
 #include "web/HttpServer.h"
@@ -88,7 +88,7 @@
         if (m_delay.count())
             co_await sleepFor(m_delay);
         if (m_down)
-            co_return std::nullopt; // the connection ends without an answer
+            co_return std::nullopt; // closes the connection without a response
         const json::object body = json::parse(request.body()).as_object();
         if (watch) {
             co_await serveWatch(body.at("create_request").as_object(), stream);
@@ -99,7 +99,7 @@
                                                           : lease(path, body);
         if (path == "/v3/kv/txn" && m_loseAnswers > 0) {
             --m_loseAnswers;
-            co_return std::nullopt; // it took effect, and nobody hears of it
+            co_return std::nullopt; // the transaction was applied, but its response is lost
         }
         co_return makeResponse(200, json::serialize(reply));
     }
@@ -211,7 +211,7 @@
         for (;;) {
             co_await sleepFor(Millis(50));
             if (m_down)
-                continue; // a store that is down lets no lease lapse
+                continue; // leases don't expire while the store is down
             const Instant now = m_clock.now();
             std::vector<int64_t> lapsed;
             for (const auto& [id, lease] : m_leases) {
