--- a/bench/check_bounds.cpp
+++ b/bench/check_bounds.cpp
@@ -30,17 +30,17 @@
 double figure(const json::array& results, const std::string& name)
 {
     const auto colon = name.find(':');
-    std::optional<double> least;
+    std::optional<double> minimum;
     for (const auto& result : results) {
         const bool measurement = result.at("run_type").as_string() == "iteration";
         if (!measurement || result.at("run_name").as_string() != name.substr(0, colon))
             continue;
         const auto value = result.at(colon == std::string::npos ? "cpu_time" : name.substr(colon + 1));
-        least = std::min(least.value_or(std::numeric_limits<double>::max()), value.to_number<double>());
+        minimum = std::min(minimum.value_or(std::numeric_limits<double>::max()), value.to_number<double>());
     }
-    if (!least)
+    if (!minimum)
         throw std::runtime_error("no benchmark " + name);
-    return *least;
+    return *minimum;
 }
 
 }
@@ -53,18 +53,18 @@
     }
     const json::value results = readFile(argv[1]);
     const json::value bounds = readFile(argv[2]);
-    int broken = 0;
+    int exceeded = 0;
     for (const auto& bound : bounds.at("bounds").as_array()) {
         const auto& list = results.at("benchmarks").as_array();
         const std::string name(bound.at("figure").as_string());
         const auto* over = bound.as_object().if_contains("over");
         const double value = figure(list, name) / (over ? figure(list, std::string(over->as_string())) : 1);
         const double most = bound.at("most").to_number<double>();
-        const bool kept = value <= most;
-        broken += !kept;
-        std::cout << (kept ? "kept   " : "BROKEN ") << name << (over ? " / " + std::string(over->as_string()) : "")
-                  << " = " << value << ", at most " << most << (kept ? "" : ", over by " + std::to_string(value - most))
-                  << '\n';
+        const bool withinBound = value <= most;
+        exceeded += !withinBound;
+        std::cout << (withinBound ? "kept   " : "BROKEN ") << name
+                  << (over ? " / " + std::string(over->as_string()) : "") << " = " << value << ", at most " << most
+                  << (withinBound ? "" : ", over by " + std::to_string(value - most)) << '\n';
     }
-    return broken ? 1 : 0;
+    return exceeded ? 1 : 0;
 }
--- a/bench/placement_trace.cpp
+++ b/bench/placement_trace.cpp
@@ -45,7 +45,7 @@
     size_t steps = 360; // half an hour
     size_t hotTurnover = 0; // keys whose popularity rank is swapped with another key's each minute
     bool rollingRestart = false;
-    bool loseCentre = false;
+    bool loseDataCentre = false;
     bool addServer = false;
 };
 
@@ -122,7 +122,7 @@
 };
 
 // Weighted rendezvous hashing (highest random weight): -slots / ln(hash).
-class Naive final : public Policy {
+class RendezvousPolicy final : public Policy {
 public:
     void step(const std::vector<PlacementServer>& servers, const Keys&) override
     {
@@ -171,7 +171,7 @@
     mutable std::unordered_map<uint64_t, std::string> m_owners; // cache, valid while the set of servers is unchanged
 };
 
-class Ours final : public Policy {
+class LoadAwarePolicy final : public Policy {
 public:
     void step(const std::vector<PlacementServer>& servers, const Keys& keys) override
     {
@@ -225,7 +225,7 @@
 struct Measure {
     std::vector<double> imbalance; // one value per step
     double moved = 0; // load that changed owner, in requests
-    double movedByNeed = 0; // part of `moved` that left servers which became unusable
+    double movedFromUnusable = 0; // part of `moved` that left servers which became unusable
     double total = 0;
     double unavailable = 0; // total waiting time, in request-seconds
 };
@@ -245,7 +245,7 @@
         for (size_t i = 0; i < servers.size(); ++i)
             servers[i].usable = step < warmUpSteps || (step - warmUpSteps) / 6 != i;
     }
-    if (trace.loseCentre && step >= trace.steps / 2) {
+    if (trace.loseDataCentre && step >= trace.steps / 2) {
         for (auto& server : servers)
             server.usable = server.dataCentre != "dc-1";
         return step == trace.steps / 2;
@@ -259,7 +259,7 @@
 {
     double slots = 0;
     double total = 0;
-    double fullest = 0;
+    double highestLoad = 0;
     for (const auto& server : servers) {
         if (!server.usable)
             continue;
@@ -268,9 +268,9 @@
         if (found == load.end())
             continue;
         total += found->second;
-        fullest = std::max(fullest, found->second / server.slots);
+        highestLoad = std::max(highestLoad, found->second / server.slots);
     }
-    return total > 0 ? fullest / (total / slots) : 1;
+    return total > 0 ? highestLoad / (total / slots) : 1;
 }
 
 Measure run(const Trace& trace, Policy& policy)
@@ -298,7 +298,7 @@
                 measure.total += keys.count(i);
             if (counted && points[i] == keys.point(i) && owner != owners[i]) {
                 measure.moved += keys.count(i);
-                measure.movedByNeed += usable[owners[i]] ? 0 : keys.count(i);
+                measure.movedFromUnusable += usable[owners[i]] ? 0 : keys.count(i);
                 measure.unavailable += keys.count(i) / stepSeconds * (loss ? lossSeconds : gracefulSeconds);
             }
             owners[i] = owner;
@@ -337,17 +337,18 @@
     line["imbalanceP99"] = rounded(percentile99(measure.imbalance));
     line["hottestKeyBound"] = rounded(std::max(1.0, Keys(trace).hottestShare() * static_cast<double>(trace.servers)));
     line["loadMovedPercentAnHour"] = rounded(100 * measure.moved / perStep / hours);
-    line["movedOverNeeded"]
-        = measure.movedByNeed > 0 ? json::value(rounded(measure.moved / measure.movedByNeed)) : json::value(nullptr);
+    line["movedOverNeeded"] = measure.movedFromUnusable > 0
+        ? json::value(rounded(measure.moved / measure.movedFromUnusable))
+        : json::value(nullptr);
     line["unavailableSecondsPerMillion"] = rounded(measure.unavailable / measure.total * 1e6);
     return line;
 }
 
-void draw(const std::string& folder, const Trace& trace, const Measure& naive, const Measure& ours)
+void draw(const std::string& folder, const Trace& trace, const Measure& naive, const Measure& loadAware)
 {
     constexpr double width = 900;
     constexpr double height = 300;
-    const double highest = std::max(percentile99(naive.imbalance), percentile99(ours.imbalance)) * 1.1;
+    const double highest = std::max(percentile99(naive.imbalance), percentile99(loadAware.imbalance)) * 1.1;
     std::ofstream out(std::filesystem::path(folder) / (trace.name + ".svg"));
     out << "<svg xmlns='http://www.w3.org/2000/svg' width='" << width << "' height='" << height + 40
         << "' font-family='sans-serif' font-size='13'><rect width='100%' height='100%' fill='white'/>"
@@ -361,7 +362,7 @@
         out << "'/>";
     };
     line(naive.imbalance, "grey");
-    line(ours.imbalance, "blue");
+    line(loadAware.imbalance, "blue");
     out << "</svg>\n";
 }
 
@@ -377,14 +378,14 @@
     for (const auto& trace : traces()) {
         if (!only.empty() && std::find(only.begin(), only.end(), trace.name) == only.end())
             continue;
-        Naive naivePolicy;
-        Ours ourPolicy;
+        RendezvousPolicy naivePolicy;
+        LoadAwarePolicy loadAwarePolicy;
         const Measure naive = run(trace, naivePolicy);
-        const Measure ours = run(trace, ourPolicy);
+        const Measure loadAware = run(trace, loadAwarePolicy);
         std::cout << json::serialize(lineOf(trace, "naive", naivePolicy, naive)) << '\n'
-                  << json::serialize(lineOf(trace, "cumindale", ourPolicy, ours)) << std::endl;
+                  << json::serialize(lineOf(trace, "cumindale", loadAwarePolicy, loadAware)) << std::endl;
         if (!folder.empty())
-            draw(folder, trace, naive, ours);
+            draw(folder, trace, naive, loadAware);
     }
     return 0;
 }
--- a/standins/backend.cpp
+++ b/standins/backend.cpp
@@ -27,7 +27,7 @@
 ABSL_FLAG(std::string, name, "server", "server name, included in responses");
 ABSL_FLAG(unsigned, slots, 4, "requests processed concurrently");
 ABSL_FLAG(unsigned, queue, 1000, "requests waiting for a slot; more are shed");
-ABSL_FLAG(bool, checks_grants, false, "refuse expired grants, and fences lower than the highest seen for a key");
+ABSL_FLAG(bool, checks_grants, false, "refuse fences lower than the highest seen for a key");
 ABSL_FLAG(std::string, record, "", "file to record executed requests in");
 
 namespace {
@@ -96,7 +96,7 @@
 private:
     void readFaults(const json::object& faults)
     {
-        m_shed = faults.contains("shed") ? faults.at("shed").to_number<double>() : 0;
+        m_shedFraction = faults.contains("shed") ? faults.at("shed").to_number<double>() : 0;
         m_delay = Millis(faults.contains("delayMs") ? faults.at("delayMs").to_number<int64_t>() : 0);
         if (faults.contains("silenceOpen"))
             m_silenced = std::exchange(m_open, {});
@@ -106,9 +106,9 @@
 
     bool shouldShed()
     {
-        m_shedDebt += m_shed;
-        if (m_shedDebt >= 1) {
-            m_shedDebt -= 1;
+        m_shedAccumulator += m_shedFraction;
+        if (m_shedAccumulator >= 1) {
+            m_shedAccumulator -= 1;
             return true;
         }
         return m_waiting >= m_queue;
@@ -185,8 +185,8 @@
     int m_record = -1;
     unsigned m_busy = 0;
     unsigned m_waiting = 0;
-    double m_shed = 0;
-    double m_shedDebt = 0;
+    double m_shedFraction = 0;
+    double m_shedAccumulator = 0;
     Millis m_delay { 0 };
     std::string m_muteHost;
     std::set<uint16_t> m_open; // connections seen, by remote port
--- a/standins/callers.cpp
+++ b/standins/callers.cpp
@@ -28,7 +28,8 @@
 #include <sstream>
 
 ABSL_FLAG(std::vector<std::string>, hosts, { "127.0.0.1:7101" }, "callers' endpoints");
-ABSL_FLAG(std::vector<std::string>, killed, {}, "endpoints killed during the run: requests lost there are not counted");
+ABSL_FLAG(std::vector<std::string>, killed, {},
+    "endpoints killed during the run: requests lost there are not counted as lost");
 ABSL_FLAG(unsigned, requests, 5000, "how many");
 ABSL_FLAG(double, rate, 500, "a second");
 ABSL_FLAG(unsigned, keys, 500, "distinct keys");
@@ -53,7 +54,7 @@
 
 constexpr auto token = asio::as_tuple(asio::use_awaitable);
 constexpr Millis avoidFailedHost { 500 };
-constexpr Millis healthEvery { 200 };
+constexpr Millis healthCheckInterval { 200 };
 
 struct Sent {
     std::string host;
@@ -69,7 +70,7 @@
     int64_t micros = 0;
 };
 
-struct HostEnd {
+struct HostEndpoint {
     std::string name;
     std::unique_ptr<HttpClient> client;
     Instant avoidUntil {};
@@ -98,7 +99,7 @@
     }
 
     // Checks the health of each host and skips unhealthy hosts, as the platform's load balancer does.
-    asio::awaitable<void> followHealth(HostEnd& host)
+    asio::awaitable<void> followHealth(HostEndpoint& host)
     {
         HttpCall call;
         call.target = "/cumindale/health";
@@ -106,7 +107,7 @@
             const HttpReply reply = co_await host.client->send(call, Millis(1000));
             if (reply.status != 200)
                 host.avoidUntil = m_clock.now() + avoidFailedHost;
-            co_await sleepFor(healthEvery);
+            co_await sleepFor(healthCheckInterval);
         }
     }
 
@@ -136,10 +137,10 @@
     const std::vector<Sent>& sent() const { return m_sent; }
 
 private:
-    HostEnd& pickHost()
+    HostEndpoint& pickHost()
     {
         for (size_t tried = 0; tried < m_hosts.size(); ++tried) {
-            HostEnd& host = m_hosts[m_nextHost++ % m_hosts.size()];
+            HostEndpoint& host = m_hosts[m_nextHost++ % m_hosts.size()];
             if (m_clock.now() >= host.avoidUntil)
                 return host;
         }
@@ -191,7 +192,7 @@
         sent.idempotent = false;
         sent.key = "case-" + std::to_string(index);
         sent.nonce = std::to_string(absl::GetFlag(FLAGS_seed)) + "-" + std::to_string(index);
-        HostEnd& host = pickHost();
+        HostEndpoint& host = pickHost();
         sent.host = host.name;
         sent.startMicros = m_clock.monotonicMicros();
         const auto answer = co_await uploadSlowly(host.name, sent);
@@ -242,7 +243,7 @@
         ++m_open;
         Sent& sent = m_sent[index];
         const HttpCall call = makeCall(sent, index);
-        HostEnd& host = pickHost();
+        HostEndpoint& host = pickHost();
         sent.host = host.name;
         sent.startMicros = m_clock.monotonicMicros();
         const HttpReply reply = co_await host.client->send(call, Millis(absl::GetFlag(FLAGS_timeout_ms)));
@@ -270,7 +271,7 @@
     asio::any_io_executor m_executor;
     SystemClock m_clock;
     std::mt19937_64 m_random;
-    std::vector<HostEnd> m_hosts;
+    std::vector<HostEndpoint> m_hosts;
     size_t m_nextHost = 0;
     std::vector<Sent> m_sent;
     size_t m_open = 0;
@@ -344,7 +345,7 @@
     std::map<std::string, size_t> errors;
     std::vector<int64_t> times;
     std::map<std::string, std::vector<int64_t>> byKind;
-    std::map<std::string, int64_t> failedSince; // time of the first failure since the last success, by key
+    std::map<std::string, int64_t> failedSince; // time of the first failed response since the last success, by key
     int64_t longestGap = 0; // from a request to the next response for the same key
     for (const auto& sent : all) {
         answered += sent.status != 0;
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -81,7 +81,7 @@
     {
         const std::string path = parseTarget(request.target()).path;
         if (path == "/hosts" || path.starts_with("/standin/"))
-            co_return answerTest(path, request);
+            co_return handleTestRequest(path, request);
         const bool watch = path == "/v3/watch";
         const bool write = path == "/v3/kv/txn" || path.starts_with("/v3/lease/");
         ++(watch ? m_watches : write ? m_writes : m_reads);
@@ -213,12 +213,12 @@
             if (m_down)
                 continue; // leases don't expire while the store is down
             const Instant now = m_clock.now();
-            std::vector<int64_t> lapsed;
+            std::vector<int64_t> expired;
             for (const auto& [id, lease] : m_leases) {
                 if (lease.until <= now)
-                    lapsed.push_back(id);
+                    expired.push_back(id);
             }
-            for (int64_t id : lapsed)
+            for (int64_t id : expired)
                 dropLease(id);
         }
     }
@@ -281,7 +281,7 @@
         return ::recv(stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
     }
 
-    ServedResponse answerTest(const std::string& path, const ServedRequest& request)
+    ServedResponse handleTestRequest(const std::string& path, const ServedRequest& request)
     {
         if (path == "/hosts" && request.method() == boost::beast::http::verb::get)
             return m_down ? makeResponse(503, "{}") : makeResponse(200, m_hosts);
