--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# One place for the commands of README.md. The build itself is CMake's.
+# Shortcuts for the commands of README.md. CMake does the build itself.
 BUILD ?= build
 
 .PHONY: all install build demo demo-platform test thrift format lint
--- a/bench/days.sh
+++ b/bench/days.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Plays the days under deploy/days, one kind of trouble each (alone at first, then twice overlapping), on one deployment,
-# and lists those on which a rule was broken or a process failed.
+# Runs the scenarios under deploy/days, one kind of fault each (first single, then two overlapping), on one deployment,
+# and lists those in which a rule was violated or a process failed.
 #
 #     BENCH=/path/to/program SITE=/path/to/site.toml SEED=7 JOBS=4 ./bench/days.sh [day ...]
 #
-# Kinds that the deployment's contracts don't know are counted as skipped. Exits 1 if a day broke a rule.
+# Kinds that the deployment's contracts don't define are counted as skipped. Exits 1 if a rule was violated.
 set -eu
 cd "$(dirname "$0")/.."
 : "${BENCH:?the program that plays days}" "${SITE:?the file of the deployment}"
--- a/bench/http.sh
+++ b/bench/http.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# What a host adds: the same load straight at the stand-in servers and through one host, in one run.
+# Measures a host's overhead: the same load directly on the stand-in servers and through one host, in one run.
 cd "$(dirname "$0")/.." || exit 1
 . standins/lib.sh
 seconds=${SECONDS_EACH:-5}
--- a/bench/prove.sh
+++ b/bench/prove.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Proves the promises with real processes on loopback, under kills, freezes and outages. The servers' own
-# records judge. One line a promise: name, runs, violations, figure. Exit status 1 on a violation.
+# Tests the guarantees with real processes on loopback, under kills, freezes and outages, against the servers' own
+# records. Prints one line per guarantee: name, runs, violations, figure. Exit status 1 on a violation.
 #
 #     bench/prove.sh [PROMISE...]     all if none is named;  LOSSES=n server losses for crash and freeze
 cd "$(dirname "$0")/.." || exit 1
--- a/bench/prove_all.sh
+++ b/bench/prove_all.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# All promises: the two long series of losses beside the rest, each on its own ports. Exit status 1 on a violation.
+# Tests all guarantees: the two long series of server losses in parallel with the rest, each on its own ports. Exit
+# status 1 on a violation.
 cd "$(dirname "$0")/.." || exit 1
 LOSSES=${LOSSES:-50} BASE=9000 ./bench/prove.sh crash &
 crash=$!
--- a/bench/soak.sh
+++ b/bench/soak.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Faults at random from a printed seed, under load, for SOAK seconds (600); the same judge as the demo.
+# Random faults from a printed seed, under load, for SOAK seconds (600); verified by the same checks as the demo.
 #     SEED=n bench/soak.sh        last line: rounds, faults, violations. Exit status 1 on a violation.
 cd "$(dirname "$0")/.." || exit 1
 . standins/lib.sh
--- a/packages/peers/peers.thrift
+++ b/packages/peers/peers.thrift
@@ -17,7 +17,7 @@
     2: i8 sight
 }
 
-// What a host says of itself. Sent only when it changed since the receiver last got it.
+// A host's state. Sent only if it changed since the receiver last got it.
 struct HostState {
     1: i64 incarnation
     2: bool counts
@@ -31,7 +31,7 @@
     10: i64 ageMillis // since the process started, when this state was made
 }
 
-// A question and its answer. `sequence` numbers the sender's states; `holds` is the newest sequence of the
+// A request and its response. `sequence` numbers the sender's states; `holds` is the newest sequence of the
 // other side that the sender holds, so that an unchanged state is not sent again.
 struct Beat {
     1: string sender
--- a/standins/lib.sh
+++ b/standins/lib.sh
@@ -1,4 +1,4 @@
-# Starts and stops the processes of a demo or a trial on loopback. Sourced by the scripts beside it.
+# Starts and stops the processes of a demo or a test run on loopback. Sourced by the scripts beside it.
 #
 # Ports from BASE (7000): store BASE; host N: callers BASE+10N+101, peers +102, operators +103; server N:
 # BASE+600+N. Two systems with other bases run side by side.
