--- a/bench/bounds.sh
+++ b/bench/bounds.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs the slopes and checks their ratios against bounds.json. Results as JSON in the file named by RESULT. Several short
-# measurements of each, mixed: the check takes the quickest, as other processes only ever add time.
+# Runs the scaling benchmarks and checks their ratios against bounds.json. Writes the results as JSON to the file named
+# by RESULT. Each benchmark runs several times in random order; the check takes the quickest run, as other processes can
+# only add time.
 cd "$(dirname "$0")/.." || exit 1
 bin=${BIN:-build/bin}
 result=${RESULT:-$(mktemp)}
--- a/bench/prove.sh
+++ b/bench/prove.sh
@@ -2,7 +2,7 @@
 # Tests the guarantees with real processes on loopback, under kills, freezes and outages, against the servers' own
 # records. Prints one line per guarantee: name, runs, violations, figure. Exit status 1 on a violation.
 #
-#     bench/prove.sh [PROMISE...]     all if none is named;  LOSSES=n server losses for crash and freeze
+#     bench/prove.sh [NAME...]     all guarantees if none is named;  LOSSES=n server losses for crash and freeze
 cd "$(dirname "$0")/.." || exit 1
 . standins/lib.sh
 LOSSES=${LOSSES:-10}
@@ -10,7 +10,8 @@
 
 field() { sed -n "s/.*\"$1\":\([-0-9.E+]*\).*/\1/p" "$2" | awk '{ printf "%d", $1 }'; }
 
-# Wrong, run twice, misled or two owners; and lost, since nobody may be left without an answer.
+# Counts wrong answers, requests run twice, misled callers, slices with two owners, and lost requests, since every
+# caller must get an answer.
 violations() { # VERDICT...
     local file sum=0 name
     for file in "$@"; do
@@ -64,7 +65,7 @@
     end_system
 }
 
-losses() { # NAME: kill or freeze, then bring back; the next answer for every key, at the 99th percentile
+losses() { # crash|freeze LIMIT-MS: servers are lost and return; limits the p99 of the time until every key gets an answer again
     local how=$1 limit=$2 i n bad=0
     system 3 6
     : >"$work/$how.gaps"
@@ -76,7 +77,7 @@
         wait $job
         field longestGapMs "$work/$how.verdict" >>"$work/$how.gaps"
         echo >>"$work/$how.gaps"
-        # A claim that was at the server when it was lost has no answer but "unknown": that is the truth.
+        # A claim that was at the server when it was lost may only be answered "unknown".
         bad=$((bad + $(violations "$work/$how.verdict")))
         if [ "$how" = crash ]; then start_server $n; else kill -CONT "${pid[server-$n]}"; fi
         wait_until 10 server_back "$n"
@@ -121,7 +122,7 @@
     end_system
 }
 
-assigner_killed() { # in the middle of a move
+assigner_killed() { # the assigner is killed in the middle of a move
     local leader n i bad=0 longest=0
     for i in 1 2; do
         system 4 6
@@ -141,7 +142,7 @@
     line assigner-killed 2 "$bad" "longest $longest ms"
 }
 
-majority_lost() { # three of five hosts are killed at once: the other two go on by reading the store
+majority_lost() { # three of five hosts are killed at once: the other two continue by reading the store
     system 5 6
     load majority 4000 500 --keys 60 --skew 1 --killed "127.0.0.1:$(host_port 3 1),127.0.0.1:$(host_port 4 1),127.0.0.1:$(host_port 5 1)" & local job=$! n
     sleep 2
@@ -151,7 +152,7 @@
     end_system
 }
 
-host_frozen() { # past its lease, and woken with requests queued, while keys move
+host_frozen() { # a host is frozen past its lease and resumed with requests queued, while keys move
     system 3 6
     load frozen 3000 500 --killed "127.0.0.1:$(host_port 3 1)" & local job=$!
     sleep 1
@@ -164,7 +165,7 @@
     end_system
 }
 
-store_down() { # 30 s: no request fails for it; a server lost meanwhile gets honest answers
+store_down() { # a store outage of 30 s fails no request; losing a server meanwhile gives no false answer
     local seconds=${STORE_DOWN:-30}
     system 3 6
     load down $((seconds * 200)) 200 & local job=$!
@@ -187,7 +188,7 @@
     end_system
 }
 
-store_faults() { # slow by 2 s, then answers lost after the write took effect, with moves under way
+store_faults() { # store calls take 2 s longer, then answers are lost after the write took effect, while keys move
     system 3 6
     load slow 3000 300 & local job=$!
     faults '{"delayMs":2000}'
@@ -206,7 +207,7 @@
     end_system
 }
 
-operators_race() { # 200 changes by two operators: each is committed or refused, and in force everywhere
+operators_race() { # 200 changes by two operators: each is either committed and in force on every host, or refused
     system 3 6
     local i who winners=0 losers=0
     racer() { # WHO HOST
@@ -253,7 +254,7 @@
     end_system
 }
 
-overload() { # twice what the servers can do: lookups and claims stay quick, goodput stays, archive reads progress
+overload() { # load of twice the servers' capacity: lookups and claims stay fast, goodput holds, archive reads progress
     local capacity=1263 seconds=${OVERLOAD:-20} bad=0 kind before after # 24 slots, 19 ms of work on average
     system 3 6
     load half $((capacity / 2 * 8)) $((capacity / 2)) --work_scale 5 --skew 1
@@ -275,7 +276,7 @@
     end_system
 }
 
-grants() { # the same with servers that check grants: one leaves, one freezes and wakes with work queued
+grants() { # servers that check grants: one leaves, one freezes and resumes with requests queued
     SERVER_OPTIONS=--checks_grants SERVER_FIELDS=',"checksGrants":true' system 3 6
     load grants 3000 400 --keys 60 --skew 1 & local job=$!
     sleep 1
@@ -291,7 +292,7 @@
     end_system
 }
 
-slow_uploads() { # 500 at 2 KB/s on one host; a server leaves, keys move, then the host itself is stopped
+slow_uploads() { # 500 uploads at 2 KB/s on one host; a server leaves, keys move, then the host is stopped
     system 2 6
     hosts=1 load slow 1 1 --slow_uploads 500 --slow_bytes 24000 --slow_rate 2000 & local job=$! most=0 rss i
     for i in $(seq 1 9); do
@@ -322,7 +323,7 @@
     end_system
 }
 
-hosts_replaced() { # all hosts one by one under load: SIGTERM cuts nothing
+hosts_replaced() { # all hosts are replaced one by one under load: SIGTERM aborts no request
     system 3 6
     load replaced 6000 300 & local job=$!
     local n bad=0
@@ -342,7 +343,7 @@
     end_system
 }
 
-budget() { # ten hosts at rest: store calls and beats
+budget() { # ten idle hosts: store calls and heartbeats
     system 10 6
     sleep 6
     local before after bytes_before bytes_after ticks_before ticks_after
--- a/bench/prove_all.sh
+++ b/bench/prove_all.sh
@@ -11,5 +11,5 @@
 status=$?
 wait $crash || status=1
 wait $freeze || status=1
-./bench/prove.sh overload || status=1 # alone: it fills the servers
+./bench/prove.sh overload || status=1 # not in parallel: it saturates the servers
 exit $status
--- a/bench/slopes.sh
+++ b/bench/slopes.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The slopes of docs/CAPACITY.md: decisions and messages (bench-slopes), then whole processes at rest by hosts and
-# servers: processor time, memory, bytes and store calls for each host.
+# Measures the scaling figures of docs/CAPACITY.md: decisions and messages (bench-slopes), then idle processes by number
+# of hosts and servers: processor time, memory, bytes and store calls for each host.
 cd "$(dirname "$0")/.." || exit 1
 . standins/lib.sh
 seconds=${SECONDS_EACH:-8}
--- a/bench/soak.sh
+++ b/bench/soak.sh
@@ -12,7 +12,7 @@
 
 store_faults() { curl -s -o /dev/null -X POST -d "$1" "$(store_url)/standin/faults"; }
 
-strike() { # HOST-TO-HURT: one fault, and its end
+strike() { # HOST: injects one random fault and ends it; host faults affect this host only
     local server=$((RANDOM % 6 + 1)) host=$1 pause
     pause=0.$((RANDOM % 9 + 1))
     faults=$((faults + 1))
@@ -29,7 +29,7 @@
 
 while [ $SECONDS -lt "$total" ]; do
     rounds=$((rounds + 1))
-    host=$((RANDOM % 3 + 2)) # host 1 answers ctl
+    host=$((RANDOM % 3 + 2)) # host 1 must stay up for ctl
     "$bin/standin-callers" --hosts "$(host_list 4)" --killed "127.0.0.1:$(host_port $host 1)" --requests 4500 --rate 300 \
         --keys 120 --skew 1 --records "$work" --seed $((seed % 1000000 * 1000 + rounds)) >"$work/soak.verdict" &
     load=$!
--- a/standins/lib.sh
+++ b/standins/lib.sh
@@ -16,7 +16,7 @@
     pid[$name]=$!
 }
 
-kill_all() { # every process that was started here, frozen ones too
+kill_all() { # every process that these scripts started, frozen ones included
     local name
     for name in "${!pid[@]}"; do
         kill -CONT "${pid[$name]}" 2>/dev/null
@@ -120,6 +120,6 @@
     (IFS=,; echo "${list[*]}")
 }
 
-owners_given() { # how often a slice was given an owner, ever
+owners_given() { # total number of times that a slice was assigned an owner
     ctl --output table status | awk '/ownersGiven/ { sum += $2 } END { print sum + 0 }'
 }
