--- a/bench/prove.sh
+++ b/bench/prove.sh
@@ -65,7 +65,7 @@
     end_system
 }
 
-losses() { # crash|freeze LIMIT-MS: servers are lost and return; limits the p99 of the time until every key gets an answer again
+losses() { # crash|freeze LIMIT-MS: servers are lost and return; p99 of the time until every key is answered again
     local how=$1 limit=$2 i n bad=0
     system 3 6
     : >"$work/$how.gaps"
