--- a/standins/lib.sh
+++ b/standins/lib.sh
@@ -1,4 +1,4 @@
-# Starts and stops the processes of a demo or a trial on loopback. Sourced by the scripts beside it.
+# Starts and stops the processes of a demo or a test run on loopback. Sourced by the scripts beside it.
 #
 # Ports from BASE (7000): store BASE; host N: callers BASE+10N+101, peers +102, operators +103; server N:
 # BASE+600+N. Two systems with other bases run side by side.
@@ -16,7 +16,7 @@
     pid[$name]=$!
 }
 
-kill_all() { # every process that was started here, frozen ones too
+kill_all() { # every process that these scripts started, frozen ones included
     local name
     for name in "${!pid[@]}"; do
         kill -CONT "${pid[$name]}" 2>/dev/null
@@ -120,6 +120,6 @@
     (IFS=,; echo "${list[*]}")
 }
 
-owners_given() { # how often a slice was given an owner, ever
+owners_given() { # total number of times that a slice was assigned an owner
     ctl --output table status | awk '/ownersGiven/ { sum += $2 } END { print sum + 0 }'
 }
