--- a/apps/cumindaled/GatewayHost.h
+++ b/apps/cumindaled/GatewayHost.h
@@ -10,8 +10,8 @@
 
 namespace cumindale {
 
-// Runs until SIGTERM or SIGINT, then finishes every accepted request. `file` is the settings file, read again at
-// SIGHUP. Returns the exit status.
+// Runs until SIGTERM or SIGINT, then finishes every accepted request. `file` is the path of the settings
+// file; SIGHUP only logs it, and the settings stay as they are. Returns the exit status.
 int runGatewayHost(const Settings&, const std::string& file);
 
 }
--- a/packages/control/Election.cpp
+++ b/packages/control/Election.cpp
@@ -112,10 +112,10 @@
             m_validUntil = askedAt + m_options.lease;
             continue;
         }
-        const bool lapsed = kept.status == StoreStatus::Ok;
+        const bool expired = kept.status == StoreStatus::Ok;
         const bool replaced = !m_view.leader().host.empty() && m_view.leader().modRevision > m_modRevision;
         const bool vacated = m_view.leader().host.empty() && m_view.leader().modRevision > m_modRevision;
-        if (!lapsed && !replaced && !vacated)
+        if (!expired && !replaced && !vacated)
             continue; // no answer: this host may still be the leader when the store is back
         logChange(LogLevel::Warning, "assigner-deposed", { { "term", m_modRevision } });
         m_modRevision = 0;
--- a/packages/decisions/CrashEvidence.cpp
+++ b/packages/decisions/CrashEvidence.cpp
@@ -98,12 +98,12 @@
 {
     const auto previousSuspects = std::exchange(m_suspects, std::move(suspects));
     const auto previouslyQuarantined = std::exchange(m_quarantined, std::move(quarantined));
-    std::vector<Fingerprint> innocent;
+    std::vector<Fingerprint> answeredSuspects;
     for (const Fingerprint request : m_suspects) {
         if (!wasAnswered(request, now))
             continue;
         m_unreportedAnswered.insert(request);
-        innocent.push_back(request);
+        answeredSuspects.push_back(request);
     }
     std::set<Fingerprint> unreported;
     for (const auto& crash : m_unreportedCrashes)
@@ -119,7 +119,7 @@
     std::erase_if(m_ownSuspects, unlisted);
     for (auto& recent : m_recentCrashes)
         std::erase_if(recent.crash.requests, cleared);
-    return innocent;
+    return answeredSuspects;
 }
 
 void HostCrashTracker::repeatToNewCoordinator()
@@ -221,15 +221,15 @@
         m_attributed.erase(m_attributedInOrder.front());
         m_attributedInOrder.pop_front();
     }
-    std::vector<Fingerprint> innocent;
+    std::vector<Fingerprint> cleared;
     for (auto& [request, suspect] : m_suspects) {
         std::erase_if(suspect.servers, [&](const std::string& server) { return servers.count(server) > 0; });
         if (suspect.servers.size() + 1 < crashesUntilQuarantine)
             m_nearQuarantine.erase(request);
         if (suspect.servers.empty())
-            innocent.push_back(request);
+            cleared.push_back(request);
     }
-    for (const Fingerprint request : innocent)
+    for (const Fingerprint request : cleared)
         dropSuspect(request);
 }
 
--- a/packages/gateway/Gateway.cpp
+++ b/packages/gateway/Gateway.cpp
@@ -316,14 +316,14 @@
         return ErrorKind::UnknownService;
     job.priority = classOf(*job.route);
     const auto timeLeft = numberIn(request[m_names.timeLeft], 0);
-    const Millis patience = timeLeft ? Millis(timeLeft) : job.route->timeout;
-    job.callerDeadline = job.arrived + patience;
+    const Millis callerTimeout = timeLeft ? Millis(timeLeft) : job.route->timeout;
+    job.callerDeadline = job.arrived + callerTimeout;
     job.deadline = std::min(job.callerDeadline - callerRoundTrip, job.arrived + job.route->timeout);
     // A caller that retries sends less remaining time than in its first attempt. The target is earlier by the
     // difference to the longest time seen on this route.
     Millis& longest = m_longestCallerTimeout[job.route->name];
-    longest = std::max(longest, patience);
-    job.target = job.arrived + job.route->target - (longest - patience) - callerRoundTrip;
+    longest = std::max(longest, callerTimeout);
+    job.target = job.arrived + job.route->target - (longest - callerTimeout) - callerRoundTrip;
     job.service = m_splits.next(*job.route);
     const RoutedService* service = m_rules->service(job.service);
     job.keyed = service && service->keyed;
--- a/packages/gateway/PlatformView.cpp
+++ b/packages/gateway/PlatformView.cpp
@@ -23,15 +23,15 @@
     // A document of a later version may have the same unknown field in each of some thousand routes.
     constexpr size_t maxRulesWarnings = 32;
 
-    void logRulesWarnings(const std::vector<FieldError>& oddities, int64_t version)
+    void logRulesWarnings(const std::vector<FieldError>& problems, int64_t version)
     {
-        const size_t logged = std::min(oddities.size(), maxRulesWarnings);
+        const size_t logged = std::min(problems.size(), maxRulesWarnings);
         for (size_t i = 0; i < logged; ++i)
             logChange(LogLevel::Warning, "rules-warning",
-                { { "version", version }, { "field", oddities[i].field }, { "allowed", oddities[i].allowed } });
-        if (logged < oddities.size())
+                { { "version", version }, { "field", problems[i].field }, { "allowed", problems[i].allowed } });
+        if (logged < problems.size())
             logChange(LogLevel::Warning, "rules-warning",
-                { { "version", version }, { "count", oddities.size() }, { "leftOut", oddities.size() - logged } });
+                { { "version", version }, { "count", problems.size() }, { "leftOut", problems.size() - logged } });
     }
 
 }
--- a/packages/gateway/Upstream.cpp
+++ b/packages/gateway/Upstream.cpp
@@ -116,13 +116,13 @@
 void Upstream::applyLimit(Instant now)
 {
     const bool needs = needsPermit(now);
-    const bool lapsed = !crowded(now) && now >= m_permitsUntil && pool.admission().permits();
+    const bool expired = !crowded(now) && now >= m_permitsUntil && pool.admission().permits();
     // Requests that would wait longer than the permit interval are refused, so none waits and no report asks for a
     // permit. After the interval a request may wait again.
     const bool mayAsk = needs && rateLimit() && m_permitInterval > Millis(0) && now >= m_askPermitFrom;
     if (mayAsk)
         m_permitInterval = Millis(0);
-    if (needs != m_hasPermits || (needs && lapsed))
+    if (needs != m_hasPermits || (needs && expired))
         setPermits(needs ? std::optional(0U) : std::nullopt);
     else if (mayAsk)
         setPermits(pool.admission().permits());
